--- a/benchmarks/capacity/inputs.py
+++ b/benchmarks/capacity/inputs.py
@@ -9,8 +9,8 @@
 from benchmarks.capacity.measurements import Measurements
 from benchmarks.capacity.quantity import Quantity, assumed, derived, told
 from benchmarks.capacity.targets import Targets
-from puffinford.machines.discovery import THROUGH_RELAYS, WAIT
 from puffinford.operators import RelaySettings
+from puffinford.server_list.discovery import RELAYED_TIMING, WATCH_WAIT_MS
 
 DAY_S = 86_400.0
 PERCENT = 100.0
@@ -88,12 +88,12 @@
     @cached_property
     def watch_wait(self) -> Quantity:
         """For how long a balancer's watch waits at the list service: set in this program."""
-        return told(WAIT / 1_000.0, "s")
+        return told(WATCH_WAIT_MS / 1_000.0, "s")
 
     @cached_property
     def relay_watch_wait(self) -> Quantity:
         """The same at a relay."""
-        return told(THROUGH_RELAYS.wait / 1_000.0, "s")
+        return told(RELAYED_TIMING.wait / 1_000.0, "s")
 
     def relay_setting(self, name: str) -> Quantity:
         """A duration of the relay's settings, by its default."""
--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -8,7 +8,7 @@
 from benchmarks.capacity.inputs import PERCENT, Inputs
 from benchmarks.capacity.quantity import Quantity, derived, told, total
 from benchmarks.capacity.roles import Kind, Mechanism, Role, Row, Status
-from puffinford.machines.discovery import THROUGH_RELAYS
+from puffinford.server_list.discovery import RELAYED_TIMING
 
 RELAYS = "watch relays in one or two tiers"
 TOP_TIER = 2  # relays that alone watch the source, in the arithmetic of two tiers
@@ -214,9 +214,9 @@
     failures = inputs.targets.failures
     a_day = failures.machines_per_day + failures.restarts_per_day
     max_age = inputs.relay_setting("max_age")
-    timing = THROUGH_RELAYS
-    silent = told((timing.wait + timing.late + timing.jitter) / MS_PER_S, "s")
-    beside = told((timing.beside + timing.jitter) / MS_PER_S, "s")
+    timing = RELAYED_TIMING
+    silent = told((timing.wait + timing.answer_grace + timing.jitter) / MS_PER_S, "s")
+    hedge_delay = told((timing.hedge_delay + timing.jitter) / MS_PER_S, "s")
     all_lists = derived("B", lambda size, count: size * count, whole_list(inputs), inputs.balancers)
     return {
         "lists.idle_calls": idle_calls(inputs),
@@ -236,8 +236,8 @@
         "lists.coalesce": inputs.relay_setting("coalesce"),
         "lists.max_age": max_age,
         "lists.silent": silent,
-        "lists.beside": beside,
-        "lists.age_most": total(max_age, silent, beside),
+        "lists.beside": hedge_delay,
+        "lists.age_most": total(max_age, silent, hedge_delay),
         "lists.age_bound": told(AGE_BOUND_S, "s"),
         "apart.time": told(failures.apart_s, "s"),
         "apart.changes": hour,
--- a/benchmarks/capacity/targets.py
+++ b/benchmarks/capacity/targets.py
@@ -42,7 +42,7 @@
     bursts: Annotated[list[Count], msgspec.Meta(min_length=1)]  # changes that come together
 
 
-class Budget(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class DescriptorBudget(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What control may cost: a balancer's part, and the machines set aside for it."""
 
     core_pct: Positive  # of one core
@@ -113,7 +113,7 @@
 
     fleet: Fleet
     changes: Changes
-    budget: Budget
+    budget: DescriptorBudget
     failures: Failures
     assumed: Assumptions
 
--- a/benchmarks/fleet/__main__.py
+++ b/benchmarks/fleet/__main__.py
@@ -13,10 +13,10 @@
 
 import click
 
+from puffinford.decision_state import QUOTA_FRACTION
 from puffinford.interface import ListKind, Server, ServerList
-from puffinford.known import QUOTA_PART
-from puffinford.standins.fleet import CARRIES, Fleet, gone, renew
-from puffinford.tables import table
+from puffinford.standins.fleet import SIMULATED_WARM_CAPACITY, Fleet, removed, restarted
+from puffinford.text_table import format_table
 
 SIZES = (3, 10, 40, 100)
 WARM_TIME = 23_000.0
@@ -29,25 +29,25 @@
     new = []
     step = 7_000.0 / (0.6 * len(fleet.servers))
     for old in fleet.servers[: int(0.6 * len(fleet.servers))]:
-        (fresh,) = renew([Server(f"new-{old.id}")], fleet.now)
+        (fresh,) = restarted([Server(f"new-{old.id}")], fleet.now)
         new.append(fresh)
         fleet.arrive(2, 1_000.0, groups)
         fleet.tell([fresh], 300.0)
-        fleet.tell(gone([old]), 300.0)
-        fleet.arrive(fleet.lose({old.id}), step, groups)
+        fleet.tell(removed([old]), 300.0)
+        fleet.arrive(fleet.fail_servers({old.id}), step, groups)
     return new
 
 
 def zone(fleet: Fleet, groups: int) -> list[Server]:
     """Four in ten servers die at once, are told gone 3 s later, and come back cold after 6 s."""
     lost = fleet.servers[: int(0.4 * len(fleet.servers))]
-    cut = fleet.lose({server.id for server in lost})
+    cut = fleet.fail_servers({server.id for server in lost})
     fleet.arrive(cut, 1_500.0, groups)
     fleet.arrive(20, 1_500.0, groups)
-    fleet.tell(gone(lost), 500.0)
+    fleet.tell(removed(lost), 500.0)
     fleet.arrive(20, 2_500.0, groups)
     fleet.dead.clear()
-    back = renew(lost, fleet.now)
+    back = restarted(lost, fleet.now)
     fleet.arrive(5, 800.0, groups)
     fleet.tell(back, 500.0)
     fleet.arrive(100, 10_000.0, groups)
@@ -56,7 +56,7 @@
 
 def herd(fleet: Fleet, groups: int) -> list[Server]:
     """Seven in ten balancers restart at once beside two new servers; their clients come back within 1.5 s."""
-    new = renew([Server("new-1"), Server("new-2")], fleet.now)
+    new = restarted([Server("new-1"), Server("new-2")], fleet.now)
     fleet.arrive(5, 2_000.0, groups)
     fleet.tell(new, 500.0)
     before = len(fleet.standing)
@@ -81,7 +81,7 @@
     fleet = Fleet(servers, balancers, seed, on_request=True)
     fleet.arrive(clients, 10_000.0, groups)
     fleet.sends.clear()
-    fleet.claims = 0
+    fleet.attempts = 0
     fleet.cpu, fleet.events = 0.0, 0
     cold = story(fleet, groups)
     fill = 0.0
@@ -89,7 +89,7 @@
         for at in [at for at, _, to in fleet.sends if to == server.id]:
             warmth = min(1.0, COLD_FROM + (1.0 - COLD_FROM) * (at - server.started) / WARM_TIME)
             sent = sum(at - 1_000.0 < other <= at for other, _, to in fleet.sends if to == server.id)
-            fill = max(fill, sent / (MULTIPLE * CARRIES / QUOTA_PART * warmth / 23.0))
+            fill = max(fill, sent / (MULTIPLE * SIMULATED_WARM_CAPACITY / QUOTA_FRACTION * warmth / 23.0))
     held = fleet.held()
     up = [server.id for server in fleet.servers if server.id in held]
     return {
@@ -97,7 +97,7 @@
         "cold_held": statistics.mean(held[server.id] for server in cold),
         "spread": max(held[ident] for ident in up) / statistics.mean(held[ident] for ident in up),
         "pairs": fleet.pairs() / groups,
-        "claims": fleet.claims / max(1, len(fleet.sends)),
+        "claims": fleet.attempts / max(1, len(fleet.sends)),
         "refused": fleet.refused / max(1, fleet.refused + len(fleet.sends)),
         "calls": float(fleet.call_peak()),
         "us": 1e6 * fleet.cpu / max(1, fleet.events),
@@ -129,7 +129,7 @@
                     f"{story.__name__}_{name}_{balancers}={mean[name]:.2f}"
                     for name in ("fill", "pairs", "us")
                 ]
-    click.echo(table(heads, rows))
+    click.echo(format_table(heads, rows))
     click.echo("bench fleet " + " ".join(line))
 
 
--- a/benchmarks/rebalance/__main__.py
+++ b/benchmarks/rebalance/__main__.py
@@ -16,7 +16,7 @@
 
 from benchmarks.rebalance import cost, story
 from benchmarks.rebalance.model import Model
-from puffinford.tables import table
+from puffinford.text_table import format_table
 
 
 @click.command()
@@ -49,7 +49,7 @@
             moves = (f"{r.balanced_s:.1f}", f"{r.ratio_end:.2f}", r.moves, r.least_moves, r.cut)
             delays = (f"{r.p99_before:.1f}", f"{r.p99_during:.1f}")
             rows.append((name, number, *moves, len(r.cold), *delays, len(r.broken)))
-    click.echo(table((*heads, "during ms", "rules broken"), rows))
+    click.echo(format_table((*heads, "during ms", "rules broken"), rows))
     for name, results in found.items():
         for text in [text for result in results for text in (*result.broken, *result.cold)][:5]:
             click.echo(f"{name}: {text}")
--- a/benchmarks/rebalance/cost.py
+++ b/benchmarks/rebalance/cost.py
@@ -29,15 +29,16 @@
     for _ in range(rounds):
         now += ROUND
         places = [
-            Place(s.server, s.load, s.capacity, s.usable, s.strained, s.flows) for s in balancer.survey(now)
+            Place(s.server, s.load, s.capacity, s.usable, s.degraded, s.connection_count)
+            for s in balancer.survey(now)
         ]
         planner.observe(now, places)
         for source in planner.sources()[:1]:
             sample = [
-                Candidate(f.id, f.key, source.id, f.cls, 1.0, f.load, now - f.placed)
-                for f in balancer.known.standing(source.id, 64)
+                Candidate(f.id, f.key, source.id, f.cls, 1.0, f.load, now - f.placed_at)
+                for f in balancer.listed_servers.sample_established(source.id, 64)
             ]
-            planned = planner.choose(now, sample, partial(balancer.advise, now=now))
+            planned = planner.choose(now, sample, partial(balancer.best_server, now=now))
             if planned is not None:
                 balancer.handle(now, [it.Relocate(planned.job, planned.target, 2_500.0)])
     return (time.process_time() - began) / (rounds * ROUND / 1_000.0)
--- a/benchmarks/rebalance/model.py
+++ b/benchmarks/rebalance/model.py
@@ -128,7 +128,7 @@
         planner, own = self.planners[balancer], self.own[balancer]
         planner.lost_sight(self.now)
         places = [
-            Place(str(server), own[server], self.warmth(server), flows=own[server])
+            Place(str(server), own[server], self.warmth(server), connection_count=own[server])
             for server in range(len(own))
         ]
         why = planner.observe(self.now, places)
--- a/benchmarks/rebalance/story.py
+++ b/benchmarks/rebalance/story.py
@@ -12,9 +12,9 @@
 from puffinford.stage.report import rules
 from puffinford.stage.script import Event, Script
 from puffinford.standins import checks
-from puffinford.standins.clients import Kind
-from puffinford.standins.servers import Make
-from puffinford.standins.trace import Trace, What
+from puffinford.standins.clients import ClientClass
+from puffinford.standins.servers import ServerProfile
+from puffinford.standins.trace import EventKind, Trace
 
 COLD_FROM, WARM_MS = 0.13, 23_000.0  # as the balancers' settings have it
 OPENINGS = 10.0  # a second, that a warm server is taken to bear
@@ -41,9 +41,9 @@
 def script(standing: int, life: float, grow_s: float, after_s: float, seed: int, on: bool) -> Script:
     """`standing` connections grow over `grow_s`; then two servers crash, and restart 5 s later."""
     kinds = [
-        Kind("price-lookup", 52.0, 2_000.0, 500.0, life, groups=10**6),
-        Kind("basket-sync", 32.0, 1_800.0, 300.0, life, groups=10**6),
-        Kind("till-status", 16.0, 3_000.0, 500.0, life, worth=2.0, groups=10**6),
+        ClientClass("price-lookup", 52.0, 2_000.0, 500.0, life, groups=10**6),
+        ClientClass("basket-sync", 32.0, 1_800.0, 300.0, life, groups=10**6),
+        ClientClass("till-status", 16.0, 3_000.0, 500.0, life, worth=2.0, groups=10**6),
     ]
     events = [Event(grow_s * 1_000.0, "server", "crash", (ident,)) for ident in RESTARTED]
     events += [Event((grow_s + 5.0) * 1_000.0, "server", "start cold", (ident,)) for ident in RESTARTED]
@@ -54,7 +54,8 @@
         rate=standing / life * 1_000.0,
         kinds=kinds,
         servers={
-            f"gw-{n}": Make(set_up=5.0, capacity=200, cold_from=COLD_FROM, warm_ms=WARM_MS) for n in range(10)
+            f"gw-{n}": ServerProfile(set_up=5.0, capacity=200, cold_from=COLD_FROM, warm_ms=WARM_MS)
+            for n in range(10)
         },
         events=events,
         grouped=False,
@@ -94,7 +95,7 @@
             tasks.start_soon(sample)
             tasks.start_soon(fill)
             trace = await play.run()
-            while samples and samples[-1][0] > play.trace.ended_serving - 1_000.0:
+            while samples and samples[-1][0] > play.trace.serving_ended_at - 1_000.0:
                 samples.pop()  # the stage is being cleared
             tasks.cancel_scope.cancel()
         return trace
@@ -105,9 +106,9 @@
 def read(trace: Trace, samples: list[tuple[float, list[int]]], grow_s: float) -> Result:
     """The figures of a run."""
     made = Result()
-    restart = min(entry.at for entry in trace.of(What.STATE) if entry.detail == "cold")
+    restart = min(entry.at for entry in trace.of(EventKind.STATE) if entry.detail == "cold")
     crash = min(
-        entry.at for entry in trace.of(What.STATE) if entry.detail == "refusing" and entry.at > 1_000.0
+        entry.at for entry in trace.of(EventKind.STATE) if entry.detail == "refusing" and entry.at > 1_000.0
     )
     for at, counts in samples:
         if at >= restart and any(counts):
@@ -121,12 +122,12 @@
     first: list[int] = next(counts for at, counts in samples if at >= restart)
     last = samples[-1][1]
     made.least_moves = sum(max(0, was - now) for was, now in zip(first, last, strict=True))
-    made.moves = len([entry for entry in trace.of(What.MOVED) if entry.at >= restart])
-    made.cut = len([entry for entry in trace.of(What.CUT) if entry.at >= restart])
-    made.cold = checks.cold_not_flooded(trace, dict.fromkeys(RESTARTED, OPENINGS), COLD_FROM, WARM_MS)
+    made.moves = len([entry for entry in trace.of(EventKind.MOVED) if entry.at >= restart])
+    made.cut = len([entry for entry in trace.of(EventKind.CUT_OFF) if entry.at >= restart])
+    made.cold = checks.cold_servers_not_flooded(trace, dict.fromkeys(RESTARTED, OPENINGS), COLD_FROM, WARM_MS)
     made.broken = rules(trace, trace.elapsed - 3_000.0)
-    before = sorted(e.ms for e in trace.of(What.ANSWERED) if e.at < crash)
-    during = sorted(e.ms for e in trace.of(What.ANSWERED) if e.at >= restart)
+    before = sorted(e.ms for e in trace.of(EventKind.ANSWERED) if e.at < crash)
+    during = sorted(e.ms for e in trace.of(EventKind.ANSWERED) if e.at >= restart)
     if before and during:
         made.p99_before = before[int(len(before) * 0.99)]
         made.p99_during = during[int(len(during) * 0.99)]
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -20,7 +20,7 @@
 from benchmarks.scale.samples import gather
 from benchmarks.scale.sizes import FULL, QUICK
 from benchmarks.scale.store import EMPTY, commit, join, load
-from puffinford.tables import table
+from puffinford.text_table import format_table
 
 HEADS = ("series", "unit", "over", "from", "to", "slope", "least", "most", "at 0", "residual", "fixed")
 
@@ -52,7 +52,7 @@
             rows.append(
                 (fit.series, fit.unit, fit.over, f"{fit.low:g}", f"{fit.high:g}", *spread, *rest, fixed)
             )
-    click.echo(table(HEADS, rows))
+    click.echo(format_table(HEADS, rows))
 
 
 def measure(
--- a/benchmarks/scale/control.py
+++ b/benchmarks/scale/control.py
@@ -20,11 +20,11 @@
 from benchmarks.scale.processes import Helper, cpu_seconds, helper, resident_mib
 from benchmarks.scale.samples import NotHeld, Sample
 from benchmarks.scale.sizes import Sizes
-from puffinford.standins.balancer import BalancerProcess, facts
-from puffinford.standins.clients import Kind
+from puffinford.standins.balancer import BalancerProcess, platform_settings
+from puffinford.standins.clients import ClientClass
 from puffinford.standins.listeners import HOST
 
-KIND = Kind("chat")
+KIND = ClientClass("chat")
 READY_MOST = 60.0  # seconds; a process that is not ready then has not held its size
 LOOK = 0.01  # seconds between looks
 
@@ -33,7 +33,7 @@
 def balancer(discovery: str, seed: int, sockets: int = 4_096) -> Iterator[BalancerProcess]:
     """A real process, not started, that may hold so many descriptors; it is ended with the scope."""
     with tempfile.TemporaryDirectory() as directory:
-        made = BalancerProcess(f"b{seed}", Path(directory), discovery, facts([KIND]), seed=seed)
+        made = BalancerProcess(f"b{seed}", Path(directory), discovery, platform_settings([KIND]), seed=seed)
         config = Path(directory) / f"{made.name}.json"
         told = json.loads(config.read_text())
         told["limits"]["sockets"] = sockets
--- a/benchmarks/scale/driver.py
+++ b/benchmarks/scale/driver.py
@@ -23,10 +23,10 @@
     ServerList,
     ServerState,
 )
-from puffinford.standins.balancer import facts
-from puffinford.standins.clients import Kind
+from puffinford.standins.balancer import platform_settings
+from puffinford.standins.clients import ClientClass
 
-KIND = Kind("chat")
+KIND = ClientClass("chat")
 STEP = 1.0  # ms that pass between two events
 PATIENCE = 2_000.0  # ms that a client waits
 
@@ -39,7 +39,7 @@
         self.rng = random.Random(seed)
         self.now = 1_000_000.0
         self.servers = [Server(f"s-{seed}-{n:06}", zone=f"z{n % 26}") for n in range(servers)]
-        settings = decode_settings(facts([KIND], balancers, self.rng.randrange(balancers)))
+        settings = decode_settings(platform_settings([KIND], balancers, self.rng.randrange(balancers)))
         self.balancer = Balancer(settings, seed)
         self.standing: dict[str, str] = {}  # the server of each connection
         self.cpu = 0.0  # seconds of processor time that the module has taken
--- a/benchmarks/scale/list_service.py
+++ b/benchmarks/scale/list_service.py
@@ -22,13 +22,13 @@
 from benchmarks.scale.processes import obey
 from puffinford.core.clock import Clock
 from puffinford.standins.discovery import Discovery
-from puffinford.standins.trace import Trace, What
+from puffinford.standins.trace import EventKind, Trace
 
 
 class NoTrace(Trace):
     """Keeps nothing: a trace of every entry told would be the greater part of the cost."""
 
-    def add(self, what: What, **more: object) -> None:
+    def add(self, what: EventKind, **more: object) -> None:
         pass
 
 
--- a/benchmarks/scale/module.py
+++ b/benchmarks/scale/module.py
@@ -94,14 +94,14 @@
     for pending in sizes.timers:
         rng, timers, now = random.Random(seed), Timers(), 0.0
         for _ in range(pending):
-            timers.at(1e9 * (1.0 + rng.random()), int)
+            timers.call_at(1e9 * (1.0 + rng.random()), int)
         began = time.process_time()
         for _ in range(sizes.wake_ups):
             now += 1.0
-            timers.at(now, int)
-            timers.wake(now)
-            timers.run(now)
-            timers.wake(now)
+            timers.call_at(now, int)
+            timers.next_wakeup(now)
+            timers.run_due(now)
+            timers.next_wakeup(now)
         seconds = time.process_time() - began
         yield Sample("module.timers", "us", {"timers": pending}, seconds / sizes.wake_ups * _US)
 
--- a/benchmarks/scale/peers.py
+++ b/benchmarks/scale/peers.py
@@ -22,10 +22,10 @@
 BURSTS = 200  # a second: lines are sent in so many bursts
 
 
-class Leg(asyncio.Protocol):
+class PeerConnection(asyncio.Protocol):
     """One server's end of a connection: UP to its opening, then lines as told."""
 
-    def __init__(self, legs: dict[Leg, None]) -> None:
+    def __init__(self, legs: dict[PeerConnection, None]) -> None:
         self._legs = legs
         self._rest = b""
 
@@ -87,14 +87,14 @@
         self.standing = 0
         self.received = 0  # lines, by all clients
         self.failed = 0  # tries that did not stand
-        self._legs: dict[Leg, None] = {}
+        self._legs: dict[PeerConnection, None] = {}
         self._numbers = itertools.count()
         self._servers: list[asyncio.Server] = []
 
     async def listen(self) -> str:
         """One more server; its HOST:PORT."""
         loop = asyncio.get_running_loop()
-        server = await loop.create_server(lambda: Leg(self._legs), HOST, 0, backlog=1_024)
+        server = await loop.create_server(lambda: PeerConnection(self._legs), HOST, 0, backlog=1_024)
         self._servers.append(server)
         return f"{HOST}:{server.sockets[0].getsockname()[1]}"
 
--- a/benchmarks/scale/records.py
+++ b/benchmarks/scale/records.py
@@ -32,7 +32,7 @@
     """A file of results or targets cannot be used; the text names place and value."""
 
 
-class Machine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ServerEntry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The machine that was measured on."""
 
     cores: Annotated[int, msgspec.Meta(ge=1)]
@@ -44,7 +44,7 @@
 class Provenance(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Where figures come from: machine, program and moment."""
 
-    machine: Machine
+    machine: ServerEntry
     commit: Name  # of the program; with `+` behind it where the tree held changes beside it
     date: Name  # ISO 8601, UTC
     remarks: str = ""  # what else ran on the machine, and other noise
@@ -153,12 +153,12 @@
 Record = TypeVar("Record", SlopeResults, RunResults)
 
 
-def this_machine() -> Machine:
+def this_machine() -> ServerEntry:
     """The machine that this process runs on."""
     memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / _GIB
     python = f"{platform.python_implementation()} {platform.python_version()}"
     system = f"{platform.system()} {platform.machine()}"
-    return Machine(os.cpu_count() or 1, round(memory, 1), python, system)
+    return ServerEntry(os.cpu_count() or 1, round(memory, 1), python, system)
 
 
 def now_utc() -> str:
--- a/benchmarks/scale/runs.py
+++ b/benchmarks/scale/runs.py
@@ -24,7 +24,7 @@
 from puffinford.scale.plan import RunPlan
 from puffinford.scale.run import NotHeld, Run
 from puffinford.scale.stories import DIRECT, FULL, STORIES, WITH_RELAYS, story
-from puffinford.tables import table
+from puffinford.text_table import format_table
 
 TWINS = 8  # hollow and as many real balancers that have to agree
 TWIN_SPAN = 12.0  # seconds
@@ -171,7 +171,7 @@
 
 
 def _say(runs: list[RunOutcome], disagreements: int | None) -> None:
-    click.echo(table(HEADS, [row(run) for run in runs]))
+    click.echo(format_table(HEADS, [row(run) for run in runs]))
     click.echo(summary(runs, disagreements))
 
 
--- a/benchmarks/scale/watchers.py
+++ b/benchmarks/scale/watchers.py
@@ -23,15 +23,15 @@
 from puffinford import Balancer
 from puffinford.codec import decode_settings
 from puffinford.core.clock import Clock
-from puffinford.core.values import MachineList
+from puffinford.core.values import ServerEntries
 from puffinford.interface import Event, ListKind, ServerList, SetTimer, Subscribe, Timer
-from puffinford.machines.discovery import WAIT, DiscoveryWatch
-from puffinford.standins.balancer import facts
-from puffinford.standins.clients import Kind
+from puffinford.server_list.discovery import WATCH_WAIT_MS, DiscoveryWatch
+from puffinford.standins.balancer import platform_settings
+from puffinford.standins.clients import ClientClass
 
 _VERSION = re.compile(rb'"version": (\d+)')
 RETRY = 0.1  # seconds after a failed call, drawn between 0 and this
-SPREAD = WAIT / 1_000.0  # seconds in which the watches begin, so that they do not ask in step
+SPREAD = WATCH_WAIT_MS / 1_000.0  # seconds in which the watches begin, so that they do not ask in step
 
 
 class Book:
@@ -71,7 +71,7 @@
     await asyncio.sleep(rng.random() * SPREAD)
     version: int | None = None
     while True:
-        path = "/v1/servers" if version is None else f"/v1/servers?index={version}&wait={WAIT}"
+        path = "/v1/servers" if version is None else f"/v1/servers?index={version}&wait={WATCH_WAIT_MS}"
         try:
             found = _VERSION.search(await _get(host, port, path))
         except OSError:
@@ -90,7 +90,7 @@
     def __init__(
         self, address: tuple[str, int], book: Book, seed: int, clock: Clock, tasks: anyio.abc.TaskGroup
     ) -> None:
-        settings = decode_settings(facts([Kind("chat")], balancers=7_500, me=seed % 7_500))
+        settings = decode_settings(platform_settings([ClientClass("chat")], balancers=7_500, me=seed % 7_500))
         self._balancer = Balancer(settings, seed)
         self._rng = random.Random(seed)
         self._book = book
@@ -106,12 +106,12 @@
         await anyio.sleep(0)
         self._watch.subscribe(True)
 
-    def _take(self, machines: MachineList | None) -> int | None:
+    def _take(self, machines: ServerEntries | None) -> int | None:
         if machines is None:
             self._handle(ServerList(ListKind.UNAVAILABLE))
             return self._version
         kind = ListKind.REPLACE if machines.full else ListKind.UPDATE
-        self._handle(ServerList(kind, [machine.server for machine in machines.machines], machines.version))
+        self._handle(ServerList(kind, [machine.server for machine in machines.entries], machines.version))
         self._book.take(self._version, machines.version)
         self._version = machines.version
         return self._version
--- a/benchmarks/size/__main__.py
+++ b/benchmarks/size/__main__.py
@@ -16,12 +16,12 @@
 import anyio
 
 from puffinford.core.clock import Clock
-from puffinford.standins.balancer import BalancerProcess, facts
-from puffinford.standins.clients import Clients, Kind
+from puffinford.standins.balancer import BalancerProcess, platform_settings
+from puffinford.standins.clients import ClientClass, Clients
 from puffinford.standins.discovery import Discovery
 from puffinford.standins.listeners import HOST
-from puffinford.standins.servers import LineServer, Make
-from puffinford.standins.trace import Trace, What
+from puffinford.standins.servers import LineServer, ServerProfile
+from puffinford.standins.trace import EventKind, Trace
 
 LISTENERS = 8
 QUOTA = 8_000.0  # connections of all tenants
@@ -64,12 +64,12 @@
     rng = random.Random(seed)
     clock = Clock()
     trace = Trace(clock.now)
-    kind = Kind("desk", life=20_000.0, groups=groups)
+    kind = ClientClass("desk", life=20_000.0, groups=groups)
     with tempfile.TemporaryDirectory() as directory:
         async with anyio.create_task_group() as tasks:
             lists = Discovery(clock, trace, tasks)
             stands = [
-                LineServer(f"l-{n}", Make(capacity=10_000), clock, trace, rng, tasks)
+                LineServer(f"l-{n}", ServerProfile(capacity=10_000), clock, trace, rng, tasks)
                 for n in range(LISTENERS)
             ]
             for stand in stands:
@@ -79,7 +79,7 @@
                     f"s-{n:04d}", addr=stands[n % LISTENERS].address, weight=BALANCERS / servers
                 )
             lists.become("sound")
-            told = facts([kind], BALANCERS, 3)
+            told = platform_settings([kind], BALANCERS, 3)
             told["customers"] = [{"name": f"m{n}", "share": 1.0 / TENANTS} for n in range(TENANTS)]
             told["domain"]["tenant_quota_connections"] = [QUOTA / TENANTS] * TENANTS
             told["weight_source"] = "nominal"
@@ -92,14 +92,14 @@
                 tasks.start_soon(_change, lists, clock, rng, servers)
                 clients = Clients([kind], rate, lambda: ("n1", process.port), clock, trace, rng, tasks)
                 await clients.run(seconds * 1_000.0)
-                asked = sum(trace.count(What.ASKED).values())
+                asked = sum(trace.count(EventKind.REQUESTED).values())
                 need = Need(
                     process.cpu(),
                     process.peak() / 2**20,
                     float(len(os.listdir(f"/proc/{process.pid}/fd"))),
-                    float(trace.count(What.CLAIM).total()),
+                    float(trace.count(EventKind.ATTEMPT).total()),
                     float(lists.sent),
-                    sum(trace.count(What.UP).values()) / max(1, asked),
+                    sum(trace.count(EventKind.UP).values()) / max(1, asked),
                 )
             finally:
                 process.stop()
--- a/benchmarks/spread/__main__.py
+++ b/benchmarks/spread/__main__.py
@@ -19,14 +19,14 @@
 import click
 
 from benchmarks.spread.model import Crowd, mean
-from puffinford.cli.stage import STORIES
+from puffinford.cli.stage import STORIES_DIRECTORY
 from puffinford.stage.play import Play
 from puffinford.stage.report import Report
 from puffinford.stage.script import read_script
-from puffinford.tables import table
+from puffinford.text_table import format_table
 
 LIFE = 6.0  # mean seconds that a client stays
-NAMES = sorted(path.stem for path in STORIES.glob("*.yaml"))
+NAMES = sorted(path.stem for path in STORIES_DIRECTORY.glob("*.yaml"))
 SHOWN = ("fullest", "emptiest", "worst", "chance", "refused", "with_room", "claims", "idle", "broken")
 
 
@@ -40,7 +40,7 @@
         "classes": {"desk": kind},
         "servers": {"gw": {"count": servers, "capacity": 20 * standing // servers, "warm_ms": 8_000}},
     }  # fmt: skip
-    script = read_script(STORIES / f"{name}.yaml", **changes)
+    script = read_script(STORIES_DIRECTORY / f"{name}.yaml", **changes)
     with tempfile.TemporaryDirectory() as directory:
         played = Play(script, Path(directory), root)
         trace = anyio.run(played.run)
@@ -71,7 +71,7 @@
         found = mean(crowd, range(1, 4))
         rows.append((name, *(f"{value:.2f}" for value in found.values())))
         line.append(f"model_{name}_fullest={found['fullest']:.2f}")
-    click.echo(table(("model", *found), rows))
+    click.echo(format_table(("model", *found), rows))
     rows = []
     for name in only or NAMES:
         for tree, root in (("now", None), *([("before", before)] if before else [])):
@@ -82,7 +82,7 @@
                 f"{name}_{tree}_{key}={figures[key]:.2f}" for key in ("fullest", "emptiest", "with_room")
             ]
             click.echo(f"{name} {tree}: fullest {figures['fullest']:.2f}, broken {len(breaches)}", err=True)
-    click.echo(table(("story", "tree", *figures), rows))
+    click.echo(format_table(("story", "tree", *figures), rows))
     for breach in worst[:20]:
         click.echo(breach)
     click.echo(f"bench spread balancers={balancers} servers={servers} broken={len(worst)} {' '.join(line)}")
--- a/benchmarks/spread/model.py
+++ b/benchmarks/spread/model.py
@@ -29,7 +29,7 @@
 
 def played(crowd: Crowd, seed: int, seconds: float) -> tuple[Evenness | None, Fleet]:
     """The crowd for so many seconds; how evenly it stood, and the fleet as it was in the end."""
-    fleet = Fleet(crowd.servers, crowd.balancers, seed, carries=crowd.standing * 4 / 3 / crowd.servers)
+    fleet = Fleet(crowd.servers, crowd.balancers, seed, warm_capacity=crowd.standing * 4 / 3 / crowd.servers)
     rng = random.Random(seed ^ 0x5B)
     weights = [(crowd.busy or {}).get(me, 1.0) for me in range(crowd.balancers)]
     ends: list[tuple[float, str]] = []
--- a/benchmarks/start/__main__.py
+++ b/benchmarks/start/__main__.py
@@ -19,7 +19,7 @@
 import click
 
 from benchmarks.start import costs, story
-from puffinford.tables import table
+from puffinford.text_table import format_table
 
 AGES = {"1min": 60_000.0, "1h": 3_600_000.0, "1d": 86_400_000.0}
 
@@ -48,7 +48,7 @@
             wrong = (r.to_draining, r.dead_paid_twice, len(r.broken))
             rows.append((name, number, r.asked, f"{100 * r.share:.1f}", r.refused, *times, *wrong))
     heads = ("list", "run", "asked", "up in 500 ms %", "busy", "first ms", "p50 ms", "p99 ms")
-    click.echo(table((*heads, "to draining", "two silent", "rules broken"), rows))
+    click.echo(format_table((*heads, "to draining", "two silent", "rules broken"), rows))
     for name, results in found.items():
         for broken in [text for result in results for text in result.broken][:5]:
             click.echo(f"{name}: {broken}")
--- a/benchmarks/start/costs.py
+++ b/benchmarks/start/costs.py
@@ -14,17 +14,17 @@
 
 from puffinford.core.clock import Clock
 from puffinford.core.exchange import Exchange
-from puffinford.core.values import Machine, MachineList
+from puffinford.core.values import ServerEntries, ServerEntry
 from puffinford.interface import ListKind, RequestClass, Server, ServerState, Settings
 from puffinford.operators.schema import StateSettings
 from puffinford.state.keeper import Keeper
 from puffinford.state.recovery import ListGuard
 
 
-def machines(count: int) -> list[Machine]:
+def machines(count: int) -> list[ServerEntry]:
     """A fleet of so many."""
     return [
-        Machine(Server(f"s-{n:08x}", "a", "rapido", n % 8), f"127.0.{n // 250 % 250}.{n % 250}", 8081)
+        ServerEntry(Server(f"s-{n:08x}", "a", "rapido", n % 8), f"127.0.{n // 250 % 250}.{n % 250}", 8081)
         for n in range(count)
     ]
 
@@ -40,7 +40,7 @@
         clock = Clock()
         told = StateSettings(size=64 << 20)
         kept = Keeper(told, place, clock, list, lambda _: None)
-        kept.note_list(MachineList(1, True, machines(count)))
+        kept.note_list(ServerEntries(1, True, machines(count)))
         kept._commit_now()
         assert kept._store is not None
         kept._store.close()
@@ -49,9 +49,9 @@
         began = time.perf_counter()
         kept = Keeper(told, place, clock, exchange.health, exchange.learn)
         start = kept.start(None)
-        exchange._take(start.restored.machines, ListKind.RESTORED)
+        exchange._apply_list(start.restored.entries, ListKind.RESTORED)
         took = (time.perf_counter() - began) * 1_000.0
-        assert len(start.restored.machines.machines) == count and kept._store is not None
+        assert len(start.restored.entries.entries) == count and kept._store is not None
         kept._store.close()
         return took
 
@@ -68,13 +68,13 @@
         guard = ListGuard()
         spent = {"store": 0.0, "all": 0.0}
 
-        def take(told: MachineList) -> None:
+        def take(told: ServerEntries) -> None:
             began = time.thread_time()
             taken = guard.judge(told)
-            assert taken.machines is not None
-            exchange.take_list(taken.machines)
+            assert taken.entries is not None
+            exchange.take_list(taken.entries)
             middle = time.thread_time()
-            kept.note_list(taken.machines)
+            kept.note_list(taken.entries)
             end = time.thread_time()
             spent["store"] += end - middle
             spent["all"] += end - began
@@ -83,7 +83,7 @@
             began, cpu = time.monotonic(), 0.0
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(kept.run)
-                take(MachineList(1, True, fleet))
+                take(ServerEntries(1, True, fleet))
                 await anyio.sleep(1.0)
                 spent.update(store=0.0, all=0.0)
                 began, cpu = time.monotonic(), time.process_time()
@@ -93,7 +93,7 @@
                     one = rng.choice(fleet)
                     state = rng.choice((ServerState.LIVE, ServerState.DRAINING))
                     server = Server(one.server.id, one.server.zone, one.server.kind, one.server.cell, state)
-                    take(MachineList(version, False, [Machine(server, one.host, one.port)]))
+                    take(ServerEntries(version, False, [ServerEntry(server, one.host, one.port)]))
                     await anyio.sleep(1.0 / a_second)
                 cpu = time.process_time() - cpu
                 took = time.monotonic() - began
@@ -115,10 +115,10 @@
         for turn in range(runs):
             state = ServerState.DRAINING if turn % 2 else ServerState.LIVE
             kept.note_list(
-                MachineList(
+                ServerEntries(
                     turn,
                     False,
-                    [Machine(Server(f"s-{n}", state=state), "127.0.0.1", n) for n in range(pairs)],
+                    [ServerEntry(Server(f"s-{n}", state=state), "127.0.0.1", n) for n in range(pairs)],
                 )
             )
             due, kept._due = kept._due, {}
--- a/benchmarks/start/story.py
+++ b/benchmarks/start/story.py
@@ -10,14 +10,14 @@
 
 import anyio
 
-from puffinford.core.places import state_path
+from puffinford.core.state_path import state_path
 from puffinford.stage.play import Play
 from puffinford.stage.report import rules
 from puffinford.stage.script import Script
 from puffinford.standins.balancer import BalancerProcess
-from puffinford.standins.clients import Kind
-from puffinford.standins.servers import Make
-from puffinford.standins.trace import ANSWERS, Trace, What
+from puffinford.standins.clients import ClientClass
+from puffinford.standins.servers import ServerProfile
+from puffinford.standins.trace import ANSWERS, EventKind, Trace
 from puffinford.state.records import (
     LIST_KEY,
     ListRecord,
@@ -28,9 +28,9 @@
 from puffinford.state.store import copy_to
 
 KINDS = [
-    Kind("price-lookup", 52.0, 2_000.0, 500.0, 8_000.0),
-    Kind("basket-sync", 32.0, 1_800.0, 300.0, 8_000.0),
-    Kind("till-status", 16.0, 3_000.0, 500.0, 16_000.0, worth=2.0),
+    ClientClass("price-lookup", 52.0, 2_000.0, 500.0, 8_000.0),
+    ClientClass("basket-sync", 32.0, 1_800.0, 300.0, 8_000.0),
+    ClientClass("till-status", 16.0, 3_000.0, 500.0, 16_000.0, worth=2.0),
 ]
 REFUSING = ("gw-01", "gw-04", "gw-07")
 SILENT = ("gw-02", "gw-08")
@@ -64,20 +64,20 @@
     """The figures of a trace; a job is one opening, whether it is a client's first or a later one."""
     made = Result()
     until = trace.elapsed - SETTLE
-    asked = {entry.job for entry in trace.of(What.ASKED) if entry.at <= until}
-    ups = sorted(entry.ms for entry in trace.of(What.UP) if entry.job in asked)
+    asked = {entry.job for entry in trace.of(EventKind.REQUESTED) if entry.at <= until}
+    ups = sorted(entry.ms for entry in trace.of(EventKind.UP) if entry.job in asked)
     made.asked, made.up = len(asked), len(ups)
     made.in_time = sum(ms <= WANTED for ms in ups)
-    made.refused = sum(entry.job in asked for entry in trace.of(What.BUSY))
-    firsts = [entry.at for entry in trace.of(What.UP)]
-    arrivals = [entry.at for entry in trace.of(What.ASKED)]
+    made.refused = sum(entry.job in asked for entry in trace.of(EventKind.BUSY))
+    firsts = [entry.at for entry in trace.of(EventKind.UP)]
+    arrivals = [entry.at for entry in trace.of(EventKind.REQUESTED)]
     if firsts:
         # The first opening may come late by chance: what counts is what the balancer adds.
         made.first_ms = min(firsts) - min(arrivals)
     if ups:
         made.p50, made.p99 = ups[len(ups) // 2], ups[min(len(ups) - 1, int(len(ups) * 0.99))]
     dead: dict[str, set[str]] = {}
-    for entry in trace.of(What.CLAIM):
+    for entry in trace.of(EventKind.ATTEMPT):
         made.to_draining += entry.server == DRAINING
         if entry.server in SILENT:
             dead.setdefault(entry.job, set()).add(entry.server)
@@ -90,7 +90,7 @@
 
 def script(seconds: float, seed: int, directory: Path | None) -> Script:
     """The play; `directory` is where the store is, None for a tree that knows none."""
-    servers = {f"gw-{n:02}": Make(set_up=5.0, capacity=400) for n in range(10)}
+    servers = {f"gw-{n:02}": ServerProfile(set_up=5.0, capacity=400) for n in range(10)}
     operators = f'section state\n directory "{directory}"\n' if directory is not None else ""
     return Script(seed=seed, seconds=seconds, rate=20.0, kinds=KINDS, servers=servers, operators=operators)
 
--- a/puffinford/balance.py
+++ b/puffinford/balance.py
@@ -15,8 +15,8 @@
 from operator import attrgetter
 
 from puffinford import interface as it
+from puffinford.decision_state import CAPACITY_ESTIMATE_TTL_MS, Backend, ListedServers, TrackedRequest
 from puffinford.fleet import Fleet
-from puffinford.known import ROOM_FOR, Backend, Flow, Servers
 from puffinford.slow_start import SlowStart
 from puffinford.timers import INSTANT, Timers
 
@@ -67,8 +67,8 @@
 DRAWS = 16  # ... so many are drawn before that
 HOLD = 2.0  # a request waits so many patiences for claims that prove restored entries, and no longer
 
-_NEVER_RAN = frozenset((it.Result.FULL, it.Result.CONNECT_FAILED, it.Result.MOOT))
-_NO_FAULT = frozenset((it.Result.OK, it.Result.CANCELLED, it.Result.MOOT))
+_NEVER_RAN = frozenset((it.Result.FULL, it.Result.CONNECT_FAILED, it.Result.NOT_SENT))
+_NO_FAULT = frozenset((it.Result.OK, it.Result.CANCELLED, it.Result.NOT_SENT))
 
 
 class Balancer:
@@ -79,9 +79,9 @@
         self._timers = Timers()
         self._actions: list[it.Action] = []
         self._fleet = Fleet(settings, seed, self._rng, self._timers, self._do)
-        self.known: Servers = self._fleet  # for queries
+        self.listed_servers: ListedServers = self._fleet  # for queries
         self._slow_start = SlowStart(settings, self._fleet)
-        self._flows: dict[str, Flow] = {}
+        self._tracked_requests: dict[str, TrackedRequest] = {}
         self._holders: dict[int, tuple[str, float]] = {}  # where connections by key were last, and when
         self._groups: dict[int, int] = {}  # own connections of each group
         self._came: deque[int] = deque(maxlen=CAME)  # the groups of the last clients
@@ -103,10 +103,10 @@
         self._restored = False  # the list is one from before the start, and discovery has not spoken
         self._patience = 0.0  # for a claim at an unproven entry
         self._proving_most = 0  # such claims that may be out; 0: any number
-        self._proving = 0  # and that are
-        self._held: dict[str, Flow] = {}  # requests that wait for what those claims tell
-        self._kept: dict[int, Flow] = {}  # places kept for moved clients, by key
-        self._favoured: frozenset[str] = frozenset()  # where clients that come back are sent first
+        self._verifying = 0  # and that are
+        self._held: dict[str, TrackedRequest] = {}  # requests that wait for what those claims tell
+        self._kept: dict[int, TrackedRequest] = {}  # places kept for moved clients, by key
+        self._preferred: frozenset[str] = frozenset()  # where clients that come back are sent first
         self._probe_credit = 0.0
         self._probing = False  # a round of probes is due
         self._take_settings(settings)
@@ -114,16 +114,16 @@
             it.Request: self._on_request,
             it.Established: self._on_established,
             it.Outcome: self._on_outcome,
-            it.LoadNote: self._on_load,
-            it.DelayNote: self._on_delay,
+            it.LoadUpdate: self._on_load,
+            it.DelayUpdate: self._on_delay,
             it.ClientLeft: self._on_left,
             it.Timer: lambda event: self._timers.woken(event.token),
             it.ServerList: self._on_list,
             it.Cordoned: self._on_cordoned,
-            it.Unproven: self._on_unproven,
-            it.Learned: self._on_learned,
+            it.UnverifiedServers: self._on_unproven,
+            it.LearnedHealth: self._on_learned,
             it.Relocate: self._on_relocate,
-            it.Favour: lambda event: setattr(self, "_favoured", event.servers),
+            it.PreferServers: lambda event: setattr(self, "_preferred", event.servers),
             it.Inherited: self._on_inherited,
             it.ProbeResult: self._on_probe,
             it.PeerMessage: lambda event: None,  # balancers need nothing of each other
@@ -141,7 +141,7 @@
             self._probes_each = PROBE_SPEND / max(settings.probe_price, PROBE_SPEND / 10)
             if not self._probing:
                 self._probing = True
-                self._timers.at(0.0, self._probe_round)
+                self._timers.call_at(0.0, self._probe_round)
 
     def configure(self, settings: it.Settings) -> None:
         """Go on under other settings. What is known of servers stays, and so do the connections."""
@@ -149,13 +149,13 @@
         self._fleet.configure(settings)
         self._slow_start.configure(settings)
         self._set_until = -1.0
-        for flow in self._flows.values():
+        for flow in self._tracked_requests.values():
             if flow.cls.name in self._classes:
                 flow.bind(self._classes[flow.cls.name])
 
-    def harmless(self, ident: str, out: bool) -> bool:
+    def may_refuse(self, ident: str, out: bool) -> bool:
         """Whether a request given up now may be refused; `out`: its present attempt was sent whole."""
-        flow = self._flows.get(ident)
+        flow = self._tracked_requests.get(ident)
         return flow is None or flow.may_be_refused(out)
 
     def handle(self, now: float, events: list[it.Event]) -> list[it.Action]:
@@ -164,29 +164,29 @@
         self._actions = []
         for event in events:
             self._handlers[type(event)](event)
-        self._timers.run(now)
-        wake = self._timers.wake(now)
-        if wake is not None:
-            self._actions.append(wake)
+        self._timers.run_due(now)
+        next_wakeup = self._timers.next_wakeup(now)
+        if next_wakeup is not None:
+            self._actions.append(next_wakeup)
         return self._actions
 
     def _do(self, action: it.Action) -> None:
         self._actions.append(action)
 
-    def survey(self, now: float) -> list[it.Survey]:
+    def survey(self, now: float) -> list[it.ServerSnapshot]:
         """Every listed server, as far as it matters to what stands. Without effect."""
         self._now = now
         told = []
         for b in self._fleet.backends.values():
-            usable = b.open and self._usable(b) and not b.unproven and self._has_room(b)
-            strained = b.down or b.late_until > now
+            usable = b.open and self._usable(b) and not b.unverified and self._has_room(b)
+            degraded = b.unreachable or b.late_until > now
             capacity = self._size(b) if b.open else 0.0
-            told.append(it.Survey(b.id, self._cost(b), capacity, usable, strained, len(b.flows)))
+            told.append(it.ServerSnapshot(b.id, self._cost(b), capacity, usable, degraded, len(b.requests)))
         return told
 
-    def advise(self, ident: str, now: float) -> str | None:
+    def best_server(self, ident: str, now: float) -> str | None:
         """Where a standing connection would be placed, were it new. Without effect."""
-        flow = self._flows.get(ident)
+        flow = self._tracked_requests.get(ident)
         if flow is None or not flow.standing or flow.backend is None or self._limit < float("inf"):
             return None
         self._now = now
@@ -210,75 +210,82 @@
             self._restored = True
         elif event.kind is not it.ListKind.UNAVAILABLE and self._restored:
             self._restored = False
-            self._timers.at(self._now, self._discovery_speaks)
+            self._timers.call_at(self._now, self._discovery_speaks)
         if self._fleet.take(event, self._now):
             self._set_until = -1.0
             # Guards the servers that a list brings against the backoff of the time without any.
-            self._failed = self._failed and all(b.down for b in self._fleet.order)
+            self._failed = self._failed and all(b.unreachable for b in self._fleet.order)
             for backend in self._fleet.backends.values():
-                if backend.down and backend.open and not backend.trial:
+                if backend.unreachable and backend.open and not backend.trial:
                     self._schedule_trial(backend)
 
     def _discovery_speaks(self) -> None:
         """The first list since the start: nothing has to prove itself any more."""
         for backend in self._fleet.backends.values():
-            backend.unproven = False
+            backend.unverified = False
             if backend.listed is it.ServerState.GONE:
                 self._empty(backend, self._now + EMPTY_OVER)
         self._try_held()
 
-    def _on_unproven(self, event: it.Unproven) -> None:
+    def _on_unproven(self, event: it.UnverifiedServers) -> None:
         self._proving_most = event.most
         self._patience = event.patience
         for backend in self._fleet.backends.values():
-            backend.unproven = self._restored and backend.id in event.servers
+            backend.unverified = self._restored and backend.id in event.servers
 
-    def _on_learned(self, event: it.Learned) -> None:
+    def _on_learned(self, event: it.LearnedHealth) -> None:
         now = self._now
         for health in event.entries:
             b = self._fleet.backends.get(health.server)
-            if b is None or b.started > health.told_at:
+            if b is None or b.started > health.observed_at:
                 continue
-            if health.failures and not b.down and not any(flow.standing for flow in b.flows.values()):
-                b.down = True
+            if (
+                health.failures
+                and not b.unreachable
+                and not any(flow.standing for flow in b.requests.values())
+            ):
+                b.unreachable = True
                 b.failures = health.failures
-                b.away_at = health.away_at
+                b.unreachable_since = health.unreachable_since
                 b.retry_at = max(now, health.retry_at)
                 heapq.heappush(self._due, (b.retry_at, b.id))
-            if health.late_at > b.late_at:
-                b.late_at = health.late_at
+            if health.late_report_at > b.late_report_at:
+                b.late_report_at = health.late_report_at
                 b.delay = health.delay
                 b.slow_until = max(b.slow_until, health.slow_until)
-            if health.room is not None and health.room_at > b.room_at:
-                b.room = health.room
-                b.room_at = health.room_at
-            if health.cold_from is not None and b.cold_from is None:
-                b.cold_from = health.cold_from
+            if (
+                health.capacity_estimate is not None
+                and health.capacity_estimated_at > b.capacity_estimated_at
+            ):
+                b.capacity_estimate = health.capacity_estimate
+                b.capacity_estimated_at = health.capacity_estimated_at
+            if health.cold_since is not None and b.cold_since is None:
+                b.cold_since = health.cold_since
         self._set_until = -1.0
 
     def _on_relocate(self, event: it.Relocate) -> None:
-        flow = self._flows.get(event.id)
+        flow = self._tracked_requests.get(event.id)
         b = self._fleet.backends.get(event.server)
         if flow is None or not flow.standing or flow.key is None or b is None or flow.key in self._kept:
             return
         if not (b.open and self._usable(b) and self._has_room(b) and self._fits_cold(b)):
             return
-        if b.cold_from is not None:
+        if b.cold_since is not None:
             b.credit -= 1.0
         self._close(flow)
         # The place is a flow of its own there, so that every count sees it until its client comes.
-        kept = self._kept[flow.key] = Flow(
+        kept = self._kept[flow.key] = TrackedRequest(
             it.Request(f"~{flow.id}", flow.cls.name, 0.0), flow.cls, 0.0, flow.load
         )
         kept.group = flow.group
         self._occupy(kept, b)
-        self._timers.at(self._now + event.hold, lambda: self._give_up(flow.key, kept))
+        self._timers.call_at(self._now + event.hold, lambda: self._give_up(flow.key, kept))
 
-    def _favourite(self, flow: Flow) -> Backend | None:
+    def _favourite(self, flow: TrackedRequest) -> Backend | None:
         """The emptiest of the favoured servers that can take a client which has come back."""
         fit = [
             b
-            for ident in self._favoured
+            for ident in self._preferred
             if (b := self._fleet.backends.get(ident)) is not None
             and b.open
             and self._usable(b)
@@ -288,7 +295,7 @@
         ]
         return min(fit, key=lambda b: (self._weight(b), b.reach), default=None)
 
-    def _give_up(self, key: int | None, kept: Flow) -> Backend | None:
+    def _give_up(self, key: int | None, kept: TrackedRequest) -> Backend | None:
         """Release a place that was kept; where that was, if it still was."""
         if key is None or self._kept.get(key) is not kept:
             return None
@@ -309,7 +316,7 @@
             backend.forget_load()
             # Guards against a server that stays unused: a cold one's part of the traffic would bring it
             # the first connection after a minute, and the working set may never reach it.
-            backend.down = True
+            backend.unreachable = True
             backend.trial = ""
             backend.retry_at = self._now
             heapq.heappush(self._due, (self._now, backend.id))
@@ -321,20 +328,20 @@
         """Move the clients of a server that is out, evenly, so that they do not all come back together."""
         if not backend.cordoned and backend.listed is not it.ServerState.GONE:
             return
-        standing = [flow for flow in backend.flows.values() if flow.standing]
+        standing = [flow for flow in backend.requests.values() if flow.standing]
         steps = max(1, int((until - self._now) / EMPTY_STEP))
         for flow in standing[: -(-len(standing) // steps)]:
             self._close(flow)
-        if backend.flows:
-            self._timers.at(self._now + EMPTY_STEP, lambda: self._empty(backend, until))
+        if backend.requests:
+            self._timers.call_at(self._now + EMPTY_STEP, lambda: self._empty(backend, until))
 
     def _on_request(self, event: it.Request) -> None:
         now = self._now
         cls = self._classes[event.cls]
-        flow = Flow(event, cls, now + event.left, self._expected_load(event.load))
+        flow = TrackedRequest(event, cls, now + event.left, self._expected_load(event.load))
         if event.load:
             self._learn_class(cls, flow.load)
-        self._flows[flow.id] = flow
+        self._tracked_requests[flow.id] = flow
         if self._fleet.thin and flow.group is not None and not flow.came_back:
             self._came.append(flow.group)
             self._alone = len(set(self._came)) == CAME
@@ -343,22 +350,24 @@
             backend = self._give_up(event.key, self._kept[event.key])
             if backend is not None and backend.open and self._usable(backend):
                 flow.place = backend
-                if backend.cold_from is not None:
+                if backend.cold_since is not None:
                     backend.credit += 1.0  # paid when the place was kept
         self._send(flow)
 
     def _on_inherited(self, event: it.Inherited) -> None:
         request = event.request
         backend = self._fleet.backends.get(event.server)
-        flow = Flow(request, self._classes[request.cls], self._now, self._expected_load(request.load))
+        flow = TrackedRequest(
+            request, self._classes[request.cls], self._now, self._expected_load(request.load)
+        )
         flow.sent = 1
         flow.standing = True
-        self._flows[flow.id] = flow
+        self._tracked_requests[flow.id] = flow
         if backend is not None:
             self._occupy(flow, backend)
 
     def _on_established(self, event: it.Established) -> None:
-        flow = self._flows.get(event.id)
+        flow = self._tracked_requests.get(event.id)
         if flow is None or flow.backend is None or event.attempt != flow.sent - 1:
             return
         flow.standing = True
@@ -366,25 +375,25 @@
         backend = flow.backend
         self._failed = False
         self._end_proving(flow)
-        backend.unproven = False
-        if backend.down:
-            backend.down = False
+        backend.unverified = False
+        if backend.unreachable:
+            backend.unreachable = False
             # Guards against a server that takes connections and drops them at once: a trial proves it only
             # once it lasts as long as the wait before it, else the next wait is longer. At 200 balancers each
             # tried it every second: 8 servers reset 8,317 connections on a calm day.
             backend.sound_at = self._now + min(RETRY_MOST, RETRY_FIRST * 2.0 ** (backend.failures - 1))
             # Guards against a server that came back before the list said so: it may be cold. One that
             # broke a connection or answered amiss, and soon took the next, was never away.
-            away = backend.away_at is not None and self._now >= backend.away_at + AWAY_FOR
-            if away and backend.cold_from is None and self._settings.warm_time > 0:
+            away = backend.unreachable_since is not None and self._now >= backend.unreachable_since + AWAY_FOR
+            if away and backend.cold_since is None and self._settings.warm_time > 0:
                 backend.start_cold(self._now)
             self._set_until = -1.0
         backend.trial = ""
-        backend.away_at = None
+        backend.unreachable_since = None
         self._try_held()
 
     def _on_outcome(self, event: it.Outcome) -> None:
-        flow = self._flows.get(event.id)
+        flow = self._tracked_requests.get(event.id)
         if flow is None or event.attempt != flow.sent - 1:
             return
         backend = flow.backend
@@ -394,10 +403,12 @@
             self._take_report(backend, event.report)
             if result not in _NO_FAULT:
                 self._failure(backend, flow, dropped=flow.standing and self._fleet.thin)
-                flow.paid |= backend.unproven
+                flow.paid |= backend.unverified
                 if result is it.Result.CONNECT_FAILED:
-                    backend.away_at = self._now if backend.away_at is None else backend.away_at
-                    if backend.cold_from is not None:
+                    backend.unreachable_since = (
+                        self._now if backend.unreachable_since is None else backend.unreachable_since
+                    )
+                    if backend.cold_since is not None:
                         backend.credit = min(1.0, backend.credit + 1.0)  # it got none of the work
                 if result is it.Result.ERROR:
                     flow.blamed.append(backend)
@@ -405,7 +416,7 @@
                 backend.trial = ""
                 self._schedule_trial(backend)
         if event.closed:
-            del self._flows[flow.id]
+            del self._tracked_requests[flow.id]
             return
         flow.standing = False
         if result not in _NEVER_RAN and flow.risk is None:
@@ -414,8 +425,8 @@
         self._send(flow)
         self._try_held()
 
-    def _on_load(self, event: it.LoadNote) -> None:
-        flow = self._flows.get(event.id)
+    def _on_load(self, event: it.LoadUpdate) -> None:
+        flow = self._tracked_requests.get(event.id)
         if flow is None or flow.backend is None or event.load < 0:
             return
         load = self._known_load(event.load)
@@ -424,14 +435,14 @@
         self._load += load - flow.load
         flow.load = load
 
-    def _on_delay(self, event: it.DelayNote) -> None:
+    def _on_delay(self, event: it.DelayUpdate) -> None:
         backend = self._fleet.backends.get(event.server)
         if backend is None:
             return
         falling = event.delay < 0.9 * backend.delay
         backend.delay = event.delay
         # A cold server answers slowly with next to nothing on it: left out for that, it never warms up.
-        slow = event.delay * (COLD_SLOW if backend.cold_from is not None else SLOW) > self._shortest_aim
+        slow = event.delay * (COLD_SLOW if backend.cold_since is not None else SLOW) > self._shortest_aim
         backend.slow_until = self._now + SLOW_FOR if slow else 0.0
         self._set_until = -1.0
         if event.delay <= self._shortest_aim or not self._shortest_aim:
@@ -441,14 +452,14 @@
         if self._fleet.thin:
             # Guards a late server against one more from each of many: a room under one is a chance, drawn
             # once a note, for with one a request the second or third of them would find it.
-            backend.room = ROOM_CUT * min(self._room(backend), max(1.0, backend.load))
+            backend.capacity_estimate = ROOM_CUT * min(self._room(backend), max(1.0, backend.load))
             backend.chance = self._rng.random()
         else:
-            backend.room = min(self._room(backend), max(1.0, ROOM_CUT * backend.load))
-        backend.room_at = self._now
+            backend.capacity_estimate = min(self._room(backend), max(1.0, ROOM_CUT * backend.load))
+        backend.capacity_estimated_at = self._now
         # One late note can be a pause; two in a row, a second apart, are more work than it can do.
-        backend.late_notes = backend.late_notes + 1 if backend.late_at > self._now - SLOW_FOR else 1
-        backend.late_at = self._now
+        backend.late_notes = backend.late_notes + 1 if backend.late_report_at > self._now - SLOW_FOR else 1
+        backend.late_report_at = self._now
         # Under a limit the fleet sheds as a whole, and moves would only pass its excess round; but where one
         # server alone is late it is not the fleet: its clients waited a second for each message for ten.
         if self._limit == float("inf") or not self._others_strained(backend):
@@ -461,7 +472,7 @@
             backend.late_until = self._now + SLOW_FOR
             if not self._limiting and not self._fleet.thin:
                 self._limiting = True
-                self._timers.at(self._now, self._watch_limit)
+                self._timers.call_at(self._now, self._watch_limit)
 
     def _move_some(self, backend: Backend) -> None:
         """Move the connections that suffer most off a server whose messages are late.
@@ -476,7 +487,7 @@
         rested = self._now - MOVE_REST
         moved = [
             flow
-            for flow in backend.flows.values()
+            for flow in backend.requests.values()
             if flow.standing
             and backend.delay > flow.cls.message_aim
             and not (flow.came_back and flow.sent_at > rested)
@@ -493,11 +504,11 @@
             return
         if self._limit < float("inf"):
             return
-        late = sum(b.late_at > self._now - SLOW_FOR for b in self._fleet.order)
-        number = max(1.0, MOVE_PART * len(backend.flows) / max(1, late))
+        late = sum(b.late_report_at > self._now - SLOW_FOR for b in self._fleet.order)
+        number = max(1.0, MOVE_PART * len(backend.requests) / max(1, late))
         if self._fleet.thin:
             # Guards against a step that each of many takes for its one connection: all of them moved all.
-            number = MOVE_THIN * len(backend.flows) / max(1, late) + self._rng.random()
+            number = MOVE_THIN * len(backend.requests) / max(1, late) + self._rng.random()
         for flow in moved[: int(number)]:
             self._close(flow)
 
@@ -516,7 +527,7 @@
         return max(0.0, min(over, room)) / (backend.used * self._size(backend))
 
     def _on_left(self, event: it.ClientLeft) -> None:
-        flow = self._flows.pop(event.id, None)
+        flow = self._tracked_requests.pop(event.id, None)
         if flow is None:
             return
         self._held.pop(flow.id, None)
@@ -561,7 +572,7 @@
         if not self._probes_each:
             self._probing = False
             return
-        self._timers.at(self._now + PROBE_EVERY * (0.5 + self._rng.random()), self._probe_round)
+        self._timers.call_at(self._now + PROBE_EVERY * (0.5 + self._rng.random()), self._probe_round)
         entries = sorted(self._working_set(), key=attrgetter("probed_at"))
         self._probe_credit = min(self._probe_credit, float(len(entries)))
         for backend in entries[: int(self._probe_credit)]:
@@ -588,19 +599,19 @@
 
     # Server health
 
-    def _failure(self, backend: Backend, flow: Flow, *, dropped: bool) -> None:
+    def _failure(self, backend: Backend, flow: TrackedRequest, *, dropped: bool) -> None:
         """An attempt or connection failed there: unreachable until a trial stands."""
-        if backend.down and backend.trial != flow.id:
+        if backend.unreachable and backend.trial != flow.id:
             # Guards a server that dropped thirty connections against the wait after thirty failed trials, and
             # a trial against the end of what went there before: a second one came beside it.
             return
-        if not backend.down and self._now >= backend.sound_at:
+        if not backend.unreachable and self._now >= backend.sound_at:
             backend.failures = 0  # it stood long enough: this is a trouble of its own
         backend.trial = ""
         backend.failures += 1
         if dropped:  # where many meet it alone, their trials come at balancers / wait: take the longest
             backend.failures = max(backend.failures, LONGEST)
-        backend.down = True
+        backend.unreachable = True
         self._set_until = -1.0
         self._schedule_trial(backend)
 
@@ -613,14 +624,14 @@
         backend.retry_at = self._now + self._backoff(backend.failures - 1)
         heapq.heappush(self._due, (backend.retry_at, backend.id))
 
-    def _trial(self, flow: Flow) -> Backend | None:
+    def _trial(self, flow: TrackedRequest) -> Backend | None:
         """An unreachable server whose trial is due, if this request can carry it."""
         while self._due and self._due[0][0] <= self._now:
             if flow.sent or flow.cls.effect is not it.Effect.SAFE or self._settings.max_attempts < 2:
                 return None
             at, ident = heapq.heappop(self._due)
             backend = self._fleet.backends.get(ident)
-            if backend is None or not backend.down or backend.trial or backend.retry_at != at:
+            if backend is None or not backend.unreachable or backend.trial or backend.retry_at != at:
                 continue
             if not backend.open:
                 continue
@@ -653,15 +664,15 @@
         It is what stands at all balancers, as this one sees its part, over the part of the warm servers'
         capacity that it uses. Too few own connections tell nothing: refused clients stand nowhere.
         """
-        if self._fleet.quotas or len(self._flows) < CARRIES_SEEN:
+        if self._fleet.quotas or len(self._tracked_requests) < CARRIES_SEEN:
             return
-        warm = [b for b in self._fleet.order if b.cold_from is None]
+        warm = [b for b in self._fleet.order if b.cold_since is None]
         sizes = {b: self._size(b) for b in warm if b.used_at > self._now - USED_FOR}
         used = sum(b.used * size for b, size in sizes.items()) / (sum(sizes.values()) or 1.0)
         if used < USED_LEAST:
             return
-        carries = self._load * self._settings.balancers / len(warm) / used
-        self._fleet.carries += CARRIES_RATE * (carries - self._fleet.carries)
+        warm_capacity = self._load * self._settings.balancers / len(warm) / used
+        self._fleet.warm_capacity += CARRIES_RATE * (warm_capacity - self._fleet.warm_capacity)
 
     def _cost(self, backend: Backend) -> float:
         """The own load of a server, with what it pays for the groups that it holds."""
@@ -670,14 +681,14 @@
     # Picking
 
     def _usable(self, backend: Backend) -> bool:
-        return not backend.down and backend.slow_until <= self._now
+        return not backend.unreachable and backend.slow_until <= self._now
 
     def _room(self, backend: Backend) -> float:
         """The own load that a server can be counted on to carry, as far as late messages have told."""
-        if self._now >= backend.room_at + ROOM_FOR:
+        if self._now >= backend.capacity_estimated_at + CAPACITY_ESTIMATE_TTL_MS:
             return float("inf")
-        grown: float = ROOM_GROWTH ** ((self._now - backend.room_at) / 1_000.0)
-        return backend.room * grown
+        grown: float = ROOM_GROWTH ** ((self._now - backend.capacity_estimated_at) / 1_000.0)
+        return backend.capacity_estimate * grown
 
     def _has_room(self, backend: Backend) -> bool:
         """Whether it can be counted on to carry one more; a part of one is a chance."""
@@ -686,23 +697,23 @@
     def _working_set(self) -> list[Backend]:
         """The short prefix of reachable entries; cold ones come on top, they can take only little."""
         now = self._now
-        if now < self._set_until and len(self._flows) <= self._set_for:
+        if now < self._set_until and len(self._tracked_requests) <= self._set_for:
             return self._set
         order = self._fleet.order
         # Guards the few servers of a prefix against a balancer that most clients come to: with a fifth of all
         # at one of 150, three of 30 servers held 2.7 times the mean while others stood at half of it.
-        each = max(1.0, OWN_PART * self._fleet.carries)
-        own = int(len(self._flows) / each)
+        each = max(1.0, OWN_PART * self._fleet.warm_capacity)
+        own = int(len(self._tracked_requests) / each)
         want = max(PREFIX, -(-COVER * len(order) // self._settings.balancers), own)
         self._set_for = (own + 1) * each
         if own > SCAN_MOST:
-            self._set_for = max(self._set_for, SET_GROWTH * len(self._flows))
+            self._set_for = max(self._set_for, SET_GROWTH * len(self._tracked_requests))
         chosen = []
         warm = 0
         until = now + SLOW_FOR
         for backend in order:
             if not self._usable(backend):
-                if not backend.down:
+                if not backend.unreachable:
                     until = min(until, backend.slow_until)
                 continue
             chosen.append(backend)
@@ -724,14 +735,14 @@
         if not size:
             return []
         mine = self._groups.get(group, 0) + 1
-        part = mine / (len(self._flows) + GROUP_PRIOR)
+        part = mine / (len(self._tracked_requests) + GROUP_PRIOR)
         want: float = max(1, round(part * size))  # in servers of mean size, as are the next two
         seen = has = 0.0
         chosen: list[Backend] = []
         most = max(GROUP_ROOM, GROUP_OVER * self._load / size)
         for backend in self._fleet.group_order(group):
             share = self._fleet.share(backend)
-            fits = backend.cold_from is None or self._fits_cold(backend)
+            fits = backend.cold_since is None or self._fits_cold(backend)
             # Guards a small server against what a mean one carries: a group of 22 went to one of half that.
             if fits and self._usable(backend) and backend.load <= most * share and self._has_room(backend):
                 chosen.append(backend)
@@ -750,11 +761,11 @@
         """Own open connections, by their load and the server's size where these are told."""
         return backend.load / self._size(backend)
 
-    def _pick(self, flow: Flow) -> Backend | None:
+    def _pick(self, flow: TrackedRequest) -> Backend | None:
         now = self._now
         if flow.place is not None and not flow.sent:
             return flow.place
-        if self._favoured and flow.came_back and not flow.sent:
+        if self._preferred and flow.came_back and not flow.sent:
             favourite = self._favourite(flow)
             if favourite is not None:
                 return favourite
@@ -785,11 +796,16 @@
                 continue
             if not self._may_prove(flow, backend):
                 continue
-            if backend.down:
+            if backend.unreachable:
                 # Guards the clients against being turned away while servers run that have only broken
                 # a connection: several in a second left a small fleet with none to go to.
                 # One whose trials fail too is no better than none.
-                if backend.away_at is None and backend.failures < 3 and not backend.trial and shaken is None:
+                if (
+                    backend.unreachable_since is None
+                    and backend.failures < 3
+                    and not backend.trial
+                    and shaken is None
+                ):
                     shaken = backend
             elif backend.slow_until <= now and (not self._fleet.thin or self._has_room(backend)):
                 return backend
@@ -799,7 +815,7 @@
                 slow = backend
         return slow or shaken
 
-    def _turn_at_cold(self, flow: Flow) -> Backend | None:
+    def _turn_at_cold(self, flow: TrackedRequest) -> Backend | None:
         """A cold server at which this balancer has a turn now, and that holds less than its part.
 
         Guards against turns that pass unused, for few clients of a thin stream belong there by their group:
@@ -812,13 +828,13 @@
         part = COLD_OVER * max(1.0, self._load / len(everyone))
         cold = [b for b in self._fleet.cold_due(now) if b.turn_due <= now or b.credit >= 1.0]
         for b in cold if flow.group is None else self._fleet.in_group_order(flow.group, cold):
-            if b.cold_from is None or not self._usable(b) or b.load > part * self._warmth(b):
+            if b.cold_since is None or not self._usable(b) or b.load > part * self._warmth(b):
                 continue
             if self._has_room(b) and flow.may_go_to(b, self._now) and self._fits_cold(b):
                 return b
         return None
 
-    def _compare(self, flow: Flow, entries: list[Backend]) -> Backend | None:
+    def _compare(self, flow: TrackedRequest, entries: list[Backend]) -> Backend | None:
         """The head against one random other: fewer own open connections win, ties to the head."""
         place = next((n for n, b in enumerate(entries) if self._fits(flow, b)), None)
         if place is None:
@@ -836,17 +852,17 @@
             better = self._weight(other) < self._weight(head)
         return other if better else head
 
-    def _fits(self, flow: Flow, backend: Backend) -> bool:
+    def _fits(self, flow: TrackedRequest, backend: Backend) -> bool:
         """Whether a server can take this client now."""
         return (
-            (backend.cold_from is None or self._fits_cold(backend))
+            (backend.cold_since is None or self._fits_cold(backend))
             and backend not in flow.tried
             and self._has_room(backend)
             and flow.may_go_to(backend, self._now)
-            and (not backend.unproven or self._may_prove(flow, backend))
+            and (not backend.unverified or self._may_prove(flow, backend))
         )
 
-    def _any_other(self, flow: Flow, entries: list[Backend], begin: int) -> Backend | None:
+    def _any_other(self, flow: TrackedRequest, entries: list[Backend], begin: int) -> Backend | None:
         """One drawn evenly from the entries that fit, from a place on; None where none does.
 
         Among many entries those drawn are looked at until one fits, which is the same draw: a balancer of a
@@ -874,35 +890,35 @@
 
     # Requests
 
-    def _send(self, flow: Flow) -> None:
+    def _send(self, flow: TrackedRequest) -> None:
         """Make the next attempt, or give the final answer where none can be made."""
         now = self._now
         left = flow.deadline - now
         attempts = self._settings.max_attempts - flow.sent
         if attempts <= 0 or left <= self._settings.tick:
-            self._finish(flow, it.Why.ATTEMPTS if attempts <= 0 else it.Why.TIME)
+            self._finish(flow, it.FailureReason.ATTEMPTS if attempts <= 0 else it.FailureReason.TIME)
             return
         backend = self._holder(flow)
         if backend is None:
             if self._failed and now < self._next_trial:
-                self._finish(flow, it.Why.DOWN)
+                self._finish(flow, it.FailureReason.DOWN)
                 return
             if self._overloaded(flow):
                 # Guards a server that is back against waiting for a trial until the limit is gone: what all
                 # others hold too much of has room there, and for ten seconds nobody was sent to see.
                 backend = self._trial(flow)
                 if backend is None:
-                    self._finish(flow, it.Why.LIMIT)
+                    self._finish(flow, it.FailureReason.LIMIT)
                     return
             backend = backend or self._pick(flow) or self._last_resort(flow)
             if backend is None:
                 if not self._hold(flow):
-                    self._finish(flow, it.Why.DOWN if self._failed else it.Why.NO_SERVER)
+                    self._finish(flow, it.FailureReason.DOWN if self._failed else it.FailureReason.NO_SERVER)
                 return
-        if backend.cold_from is not None:
+        if backend.cold_since is not None:
             backend.credit -= 1.0
         timeout = 0.0 if attempts == 1 else left / 2
-        if backend.unproven and flow.cls.effect is it.Effect.SAFE:
+        if backend.unverified and flow.cls.effect is it.Effect.SAFE:
             timeout = min(timeout or left, self._patience)
         self._occupy(flow, backend)
         flow.sent += 1
@@ -910,7 +926,7 @@
         flow.tried.append(backend)
         self._do(it.Attempt(flow.id, backend.id, timeout, flow.repeat_until()))
 
-    def _holder(self, flow: Flow) -> Backend | None:
+    def _holder(self, flow: TrackedRequest) -> Backend | None:
         """The server that still holds this open connection, where packets pass through and it is known.
 
         Anywhere else the client is reset and set up anew, so this comes before any other thought;
@@ -924,29 +940,29 @@
             return None
         return backend
 
-    def _may_prove(self, flow: Flow, backend: Backend) -> bool:
+    def _may_prove(self, flow: TrackedRequest, backend: Backend) -> bool:
         """Whether this client may be the one that tries an entry which nobody has proved yet.
 
         Guards the clients after a start on an old list: few meet a dead entry, and none of them two
         while there is a sound one; a request that may not be repeated meets none then.
         """
-        if not backend.unproven:
+        if not backend.unverified:
             return True
-        if self._proving_most and self._proving >= self._proving_most:
+        if self._proving_most and self._verifying >= self._proving_most:
             return False
         if not flow.paid and flow.cls.effect is it.Effect.SAFE:
             return True
-        return not any(not b.unproven and not b.down for b in self._fleet.order)
+        return not any(not b.unverified and not b.unreachable for b in self._fleet.order)
 
-    def _hold(self, flow: Flow) -> bool:
+    def _hold(self, flow: TrackedRequest) -> bool:
         """Keep a request until the claims that are out to unproven entries tell where it can go."""
-        if not self._proving or (flow.held_until and self._now >= flow.held_until - INSTANT):
+        if not self._verifying or (flow.held_until and self._now >= flow.held_until - INSTANT):
             return False
-        if not any(b.unproven and not b.down and b not in flow.tried for b in self._fleet.order):
+        if not any(b.unverified and not b.unreachable and b not in flow.tried for b in self._fleet.order):
             return False
         if not flow.held_until:
             flow.held_until = self._now + HOLD * self._patience
-            self._timers.at(flow.held_until, self._try_held)
+            self._timers.call_at(flow.held_until, self._try_held)
         self._held[flow.id] = flow
         return True
 
@@ -955,11 +971,11 @@
         for flow in held.values():
             self._send(flow)
 
-    def _end_proving(self, flow: Flow) -> None:
-        self._proving -= flow.proving
+    def _end_proving(self, flow: TrackedRequest) -> None:
+        self._verifying -= flow.proving
         flow.proving = False
 
-    def _overloaded(self, flow: Flow) -> bool:
+    def _overloaded(self, flow: TrackedRequest) -> bool:
         """Whether to turn this request away because most servers answer their messages too late.
 
         Guards against a fleet so full that it serves nobody in time: fewer connections, well served,
@@ -976,20 +992,20 @@
 
     def _strained_share(self) -> float:
         """The part of the servers with own connections that are late or turn connections away."""
-        known = strained = 0
+        known = degraded = 0
         for backend in self._fleet.order:
-            if backend.flows:
+            if backend.requests:
                 known += 1
-                strained += backend.down or backend.late_until > self._now
+                degraded += backend.unreachable or backend.late_until > self._now
         # Few servers say nothing of the fleet: a short prefix can be strained by chance, and grows then.
         enough = max(PREFIX, min(STRAIN_SEEN, len(self._fleet.order) // 2))
         # Guards a small fleet against being taken for full when one server is sick and a second one
         # carries its clients: there too it takes three.
-        return strained / max(known, STRAIN_SEEN) if known >= enough else 0.0
+        return degraded / max(known, STRAIN_SEEN) if known >= enough else 0.0
 
     def _others_strained(self, backend: Backend) -> bool:
         """Whether any server beside this one is late or turns connections away."""
-        return any(b.down or b.late_until > self._now for b in self._fleet.order if b is not backend)
+        return any(b.unreachable or b.late_until > self._now for b in self._fleet.order if b is not backend)
 
     def _in_use(self) -> float:
         """The part of the fleet's capacity in use, as fresh reports tell; 0 where none do."""
@@ -1021,29 +1037,33 @@
                 self._limit = float("inf")
         self._limiting = share > 0.0 or self._limit < float("inf")
         if self._limiting:
-            self._timers.at(self._now + LIMIT_EVERY * (0.75 + 0.5 * self._rng.random()), self._watch_limit)
+            self._timers.call_at(
+                self._now + LIMIT_EVERY * (0.75 + 0.5 * self._rng.random()), self._watch_limit
+            )
 
     def _shed(self) -> None:
         """Close what is worth least for its load, down to the limit."""
-        standing = [flow for flow in self._flows.values() if flow.standing and flow.backend is not None]
+        standing = [
+            flow for flow in self._tracked_requests.values() if flow.standing and flow.backend is not None
+        ]
         standing.sort(key=lambda flow: (self._density(flow.cls), -flow.load))
         for flow in standing:
             if self._load <= self._limit:
                 break
             self._close(flow)
 
-    def _close(self, flow: Flow) -> None:
+    def _close(self, flow: TrackedRequest) -> None:
         self._release(flow)
-        del self._flows[flow.id]
+        del self._tracked_requests[flow.id]
         self._do(it.Move(flow.id))
 
     def _density(self, cls: it.RequestClass) -> float:
         """Worth for each unit of load."""
         return cls.value if self._settings.worth_by_work else cls.value / self._class_load.get(cls.name, 1.0)
 
-    def _last_resort(self, flow: Flow) -> Backend | None:
+    def _last_resort(self, flow: TrackedRequest) -> Backend | None:
         """Total failure: one trial after each backoff interval, the server of the earliest due first."""
-        if any(not b.down for b in self._fleet.order):
+        if any(not b.unreachable for b in self._fleet.order):
             return None
         if not self._failed:
             self._failed = True
@@ -1062,7 +1082,7 @@
         backend.trial = flow.id
         return backend
 
-    def _absolve(self, flow: Flow) -> None:
+    def _absolve(self, flow: TrackedRequest) -> None:
         """Take back the blame for a request that every server it went to answered with an error.
 
         Guards against a request that no server can use: it would leave most of a small fleet unreachable.
@@ -1070,26 +1090,26 @@
         if len(flow.blamed) < 2 or len(flow.blamed) < flow.sent:
             return
         for backend in flow.blamed:
-            if backend.down and backend.failures == 1 and not backend.trial:
-                backend.down = False
+            if backend.unreachable and backend.failures == 1 and not backend.trial:
+                backend.unreachable = False
                 backend.failures = 0
         self._set_until = -1.0
 
-    def _finish(self, flow: Flow, why: it.Why) -> None:
+    def _finish(self, flow: TrackedRequest, reason: it.FailureReason) -> None:
         self._absolve(flow)
         self._release(flow)
-        del self._flows[flow.id]
+        del self._tracked_requests[flow.id]
         if flow.may_be_refused():
             most = self._settings.max_retry_after
-            self._do(it.Refuse(flow.id, most * (0.5 + 0.5 * self._rng.random()), why))
+            self._do(it.Refuse(flow.id, most * (0.5 + 0.5 * self._rng.random()), reason))
         else:
-            self._do(it.Fail(flow.id, it.Why.RAN))
+            self._do(it.Fail(flow.id, it.FailureReason.RAN))
 
-    def _occupy(self, flow: Flow, backend: Backend) -> None:
+    def _occupy(self, flow: TrackedRequest, backend: Backend) -> None:
         flow.backend = backend
-        flow.proving = backend.unproven
-        self._proving += flow.proving
-        backend.flows[flow.id] = flow
+        flow.proving = backend.unverified
+        self._verifying += flow.proving
+        backend.requests[flow.id] = flow
         backend.load += flow.load
         self._load += flow.load
         backend.used_since += flow.load
@@ -1097,7 +1117,7 @@
             self._groups[flow.group] = self._groups.get(flow.group, 0) + 1
             backend.groups[flow.group] = backend.groups.get(flow.group, 0) + 1
 
-    def _release(self, flow: Flow) -> None:
+    def _release(self, flow: TrackedRequest) -> None:
         backend = flow.backend
         if backend is None:
             return
@@ -1108,10 +1128,10 @@
             if len(self._holders) > HELD_KEYS:
                 del self._holders[next(iter(self._holders))]
         self._load -= flow.load
-        del backend.flows[flow.id]
+        del backend.requests[flow.id]
         if flow.group is not None:
             for groups in (self._groups, backend.groups):
                 groups[flow.group] -= 1
                 if not groups[flow.group]:
                     del groups[flow.group]
-        backend.load = backend.load - flow.load if backend.flows else 0.0
+        backend.load = backend.load - flow.load if backend.requests else 0.0
--- a/puffinford/cli/__init__.py
+++ b/puffinford/cli/__init__.py
@@ -12,11 +12,11 @@
 
 from puffinford.config import BadConfig, load
 from puffinford.core.clock import Clock
-from puffinford.core.starts import StartTimes
-from puffinford.machines import inventory
-from puffinford.operators import DEFAULT_FILE, BadSettings, Loaded, load_settings
+from puffinford.core.start_times import StartTimes
+from puffinford.operators import DEFAULT_FILE, BadSettings, LoadedSettings, load_settings
+from puffinford.server_list import inventory
 from puffinford.start import serve_program
-from puffinford.tables import table
+from puffinford.text_table import format_table
 
 VERSION = "0.2.0"
 
@@ -72,7 +72,7 @@
 def print_inventory(file: Path) -> None:
     """Read an inventory and print its entries, and what is rejected."""
     try:
-        machines, rejected = inventory.load(file, StartTimes(Clock()).of)
+        machines, rejected = inventory.load(file, StartTimes(Clock()).local_time)
     except inventory.BadInventory as exc:
         return fail(str(exc))
     for entry in machines:
@@ -96,7 +96,7 @@
     The platform's file and an inventory are checked where they are named.
     """
     wrong: list[str] = []
-    loaded = Loaded()
+    loaded = LoadedSettings()
     try:
         loaded = load_settings(settings)
     except BadSettings as exc:
@@ -109,7 +109,7 @@
             wrong += [text for text in str(exc).splitlines() if text not in wrong]
     if inventory_file is not None:
         try:
-            wrong += inventory.load(inventory_file, starts.of)[1]
+            wrong += inventory.load(inventory_file, starts.local_time)[1]
         except inventory.BadInventory as exc:
             wrong.append(str(exc))
     if wrong:
@@ -119,7 +119,7 @@
         keys = ("section", "keyword", "value", "from", "meaning")
         click.echo(json.dumps([dict(zip(keys, row, strict=True)) for row in rows], indent=1))
         return
-    click.echo(table(("section", "keyword", "value", "from", "meaning"), rows))
+    click.echo(format_table(("section", "keyword", "value", "from", "meaning"), rows))
 
 
 def main(argv: Sequence[str] | None = None) -> int:
--- a/puffinford/cli/rebalance.py
+++ b/puffinford/cli/rebalance.py
@@ -9,7 +9,7 @@
 import click
 
 from puffinford.cli import fail, json_option
-from puffinford.tables import table
+from puffinford.text_table import format_table
 
 WAIT = 5.0  # seconds for a call
 
@@ -70,7 +70,7 @@
         )
         for s in told["servers"]
     ]
-    click.echo(table(("server", "connections", "load", "capacity", "target"), rows))
+    click.echo(format_table(("server", "connections", "load", "capacity", "target"), rows))
 
 
 @rebalance.command()
--- a/puffinford/cli/stage.py
+++ b/puffinford/cli/stage.py
@@ -12,10 +12,10 @@
 import click
 
 from puffinford.cli import fail, json_option
-from puffinford.standins.trace import What
-from puffinford.tables import table
+from puffinford.standins.trace import EventKind
+from puffinford.text_table import format_table
 
-STORIES = Path(__file__).parents[1] / "stage" / "stories"
+STORIES_DIRECTORY = Path(__file__).parents[1] / "stage" / "stories"
 
 
 @click.group()
@@ -27,10 +27,10 @@
 def list_stories() -> None:
     """Name the stories that come with the program."""
     rows = []
-    for path in sorted(STORIES.glob("*.yaml")):
+    for path in sorted(STORIES_DIRECTORY.glob("*.yaml")):
         first = path.read_text(encoding="utf-8").partition("\n")[0]
         rows.append((path.stem, first.removeprefix("# ")))
-    click.echo(table(("story", "what happens"), rows))
+    click.echo(format_table(("story", "what happens"), rows))
 
 
 @stage.command()
@@ -70,8 +70,8 @@
     except ImportError as exc:
         return fail(f"{exc}; the stage needs the packages of requirements-stage.txt")
     path = Path(story)
-    if not path.exists() and (STORIES / f"{story}.yaml").exists():
-        path = STORIES / f"{story}.yaml"
+    if not path.exists() and (STORIES_DIRECTORY / f"{story}.yaml").exists():
+        path = STORIES_DIRECTORY / f"{story}.yaml"
     given = {"balancers": balancers, "seed": seed, "seconds": seconds, "rate": rate}
     try:
         script = read_script(path, **{name: value for name, value in given.items() if value is not None})
@@ -130,7 +130,7 @@
                 found, asked = [f"not played: {exc}"], 0
             else:
                 found = breaches(trace, script, played.lateness)
-                asked = sum(trace.count(What.ASKED).values())
+                asked = sum(trace.count(EventKind.REQUESTED).values())
         broken += bool(found)
         head = f"seed {seed}: {script.balancers} balancers, {len(script.servers)} servers, {asked} asked"
         head += f", {played.lateness:.0f} ms late"
--- a/puffinford/cli/state.py
+++ b/puffinford/cli/state.py
@@ -19,7 +19,7 @@
 from puffinford.state.keeper import store_file, weights
 from puffinford.state.records import HealthRecord, ListRecord, ServerRecord, Stored
 from puffinford.state.trust import age, trust
-from puffinford.tables import table
+from puffinford.text_table import format_table
 
 FORMAT = "puffinford-state"
 
@@ -127,7 +127,7 @@
     for text in stored.rotten:
         click.echo(f"rejected {text}")
     if rows:
-        click.echo(table(heads, rows))
+        click.echo(format_table(heads, rows))
 
 
 def _learned(health: HealthRecord, now: float) -> str:
@@ -136,10 +136,10 @@
         parts.append(f"down after {health.failures} failures")
     if health.slow_until > now:
         parts.append(f"slow ({health.delay:.0f}ms a message)")
-    if health.room >= 0:
-        parts.append(f"room {health.room:.1f}")
-    if health.cold_from:
-        parts.append(f"cold since {_when(health.cold_from)}")
+    if health.capacity_estimate >= 0:
+        parts.append(f"room {health.capacity_estimate:.1f}")
+    if health.cold_since:
+        parts.append(f"cold since {_when(health.cold_since)}")
     return ", ".join(parts) or "-"
 
 
--- a/puffinford/codec.py
+++ b/puffinford/codec.py
@@ -27,7 +27,7 @@
     304: it.Result.CONNECT_FAILED,
     305: it.Result.RESET,
     306: it.Result.CANCELLED,
-    307: it.Result.MOOT,
+    307: it.Result.NOT_SENT,
 }
 _STATES = {
     "live": it.ServerState.LIVE,
@@ -365,8 +365,8 @@
     server = text(event, fields, "server")
     value = _number_or(event, fields, "value", 0.0)
     if _choice(event, fields, "kind", {1: True, 2: False}):
-        return it.LoadNote(ident, server, value)
-    return it.DelayNote(ident, server, value)
+        return it.LoadUpdate(ident, server, value)
+    return it.DelayUpdate(ident, server, value)
 
 
 def _decode_outcome(fields: Fields) -> it.Event:
--- a/puffinford/config.py
+++ b/puffinford/config.py
@@ -11,11 +11,11 @@
 from typing import Any
 
 from puffinford.codec import WireError, absent_settings, decode_settings
-from puffinford.core.starts import StartTimes
-from puffinford.core.values import MachineList
+from puffinford.core.start_times import StartTimes
+from puffinford.core.values import ServerEntries
 from puffinford.interface import Settings
-from puffinford.machines.entries import BadEntry, machine_list, parse_address
 from puffinford.operators import DEFAULT_FILE, BadSettings, OperatorSettings, load_settings
+from puffinford.server_list.entries import BadEntry, parse_address, parse_server_list
 
 log = logging.getLogger(__name__)
 
@@ -40,7 +40,7 @@
     discovery: tuple[str, int] | None
     seed: int
     settings: Settings
-    known: MachineList | None
+    known: ServerEntries | None
     inventory: Path | None = None
     limits: Limits = Limits()
     operators: OperatorSettings = field(default_factory=OperatorSettings)
@@ -131,7 +131,7 @@
     known = None
     if told.get("known") is not None:
         try:
-            known = machine_list(
+            known = parse_server_list(
                 told["known"],
                 starts,
                 lambda text: log.warning("known entry rejected", extra={"error": text}),
--- a/puffinford/core/answers.py
+++ b/puffinford/core/answers.py
@@ -5,10 +5,10 @@
 import anyio
 
 from puffinford.core.context import Context
-from puffinford.core.figures import Count
+from puffinford.core.counters import Count
 from puffinford.core.logger import log
-from puffinford.core.requests import ClientRequest, Ending
-from puffinford.core.values import Broken, Busy, ClientLeg, Failed, Opening
+from puffinford.core.requests import ClientRequest, Completion
+from puffinford.core.values import Busy, ClientConnection, ConnectionBroken, Failed, Opening
 
 MOVE_MOST = 800.0  # a client that takes no MOVE in this time is cut off
 
@@ -20,25 +20,29 @@
         self._context = context
 
     async def refuse(
-        self, client: ClientLeg, answer: Busy | Failed, opening: Opening, request: ClientRequest | None = None
+        self,
+        client: ClientConnection,
+        answer: Busy | Failed,
+        opening: Opening,
+        request: ClientRequest | None = None,
     ) -> None:
         """Give the final answer, log it with its cause, and count it where it is one of a known class."""
         busy = isinstance(answer, Busy)
         self._log(answer, opening, request)
         try:
             await client.answer(answer)
-        except Broken:
+        except ConnectionBroken:
             await client.abort()
             return
         if opening.cls in self._context.classes:
-            self._context.figures.add(opening.cls, Count.REFUSED if busy else Count.FAILED)
+            self._context.counters.add(opening.cls, Count.REFUSED if busy else Count.FAILED)
         await client.end()
 
     def _log(self, answer: Busy | Failed, opening: Opening, request: ClientRequest | None) -> None:
         told: dict[str, object] = {"job": opening.request_id, "key": opening.key, "cls": opening.cls}
         told["tenant"] = opening.tenant or ""
         told["answer"], told["why"] = (
-            ("busy", answer.why) if isinstance(answer, Busy) else ("failed", answer.reason)
+            ("busy", answer.reason) if isinstance(answer, Busy) else ("failed", answer.reason)
         )
         if request is not None:
             told["claims"] = request.attempts
@@ -47,33 +51,33 @@
 
     async def end_legs(self, request: ClientRequest) -> None:
         """End both sides' connections as the request's ending says."""
-        ending = request.ending
-        assert ending is not None
-        server = request.attempt.leg if request.attempt is not None else None
+        completion = request.completion
+        assert completion is not None
+        server = request.attempt.connection if request.attempt is not None else None
         async with anyio.create_task_group() as tasks:
             if server is not None:
-                tasks.start_soon(server.abort if ending.broken or ending.answer else server.end)
-            await self._end_client(request, ending)
+                tasks.start_soon(server.abort if completion.broken or completion.answer else server.end)
+            await self._end_client(request, completion)
 
-    async def _end_client(self, request: ClientRequest, ending: Ending) -> None:
+    async def _end_client(self, request: ClientRequest, completion: Completion) -> None:
         client = request.client
-        if ending.answer is not None:
-            watcher = self._context.watcher
-            if watcher is not None:
-                failed = not isinstance(ending.answer, Busy)
-                watcher.turned_away(request.key, request.opening.cls, failed=failed)
-            await self.refuse(client, ending.answer, request.opening, request)
+        if completion.answer is not None:
+            observer = self._context.observer
+            if observer is not None:
+                failed = not isinstance(completion.answer, Busy)
+                observer.on_refused(request.key, request.opening.cls, failed=failed)
+            await self.refuse(client, completion.answer, request.opening, request)
             return
-        if ending.broken or (ending.move and not await self._move(client)):
+        if completion.broken or (completion.move and not await self._move(client)):
             await client.abort()
             return
         await client.end()
 
-    async def _move(self, client: ClientLeg) -> bool:
+    async def _move(self, client: ClientConnection) -> bool:
         """Send the client away; whether it took the word in time."""
         with self._context.clock.limit(MOVE_MOST) as scope:
             try:
                 await client.move()
-            except Broken:
+            except ConnectionBroken:
                 scope.cancel()
         return not (scope.cancelled_caught or scope.cancel_called)
--- a/puffinford/core/figures.py
+++ b/puffinford/core/counters.py
@@ -13,7 +13,7 @@
     ATTEMPTS = "attempts"  # openings written whole to servers
 
 
-class Figures:
+class RequestCounters:
     """Written by the exchange alone, once what is counted has been written."""
 
     def __init__(self) -> None:
--- a/puffinford/core/delays.py
+++ b/puffinford/core/delays.py
@@ -7,7 +7,7 @@
 from statistics import median
 
 
-class Unanswered:
+class UnansweredLines:
     """The lines of one connection that wait for an answer."""
 
     __slots__ = ("_heard", "_sent")
--- a/puffinford/core/decisions.py
+++ b/puffinford/core/dispatcher.py
@@ -20,7 +20,7 @@
         self._inbox: list[it.Event] = []
         self._telling = False
 
-    def tell(self, event: it.Event) -> None:
+    def dispatch(self, event: it.Event) -> None:
         """Tell the module, and carry out what it decides; what happens meanwhile waits its turn."""
         self._inbox.append(event)
         if self._telling:
--- a/puffinford/core/exchange.py
+++ b/puffinford/core/exchange.py
@@ -19,29 +19,29 @@
 from puffinford.core.answers import Answers
 from puffinford.core.attempts import Attempts, request_of
 from puffinford.core.clock import Clock
+from puffinford.core.completions import Completions
 from puffinford.core.context import Context
-from puffinford.core.decisions import Decisions
 from puffinford.core.delay_watch import DelayWatch
+from puffinford.core.dispatcher import Decisions
 from puffinford.core.drain import Drain
-from puffinford.core.endings import Endings
+from puffinford.core.forwarding import Relay
 from puffinford.core.load_reports import LoadReports
 from puffinford.core.logger import log
 from puffinford.core.probes import Probes
-from puffinford.core.relaying import Relay
-from puffinford.core.requests import ClientRequest, Ending
+from puffinford.core.requests import ClientRequest, Completion
 from puffinford.core.servers import ServerTable
-from puffinford.core.silence import SilenceWatch
+from puffinford.core.silent_servers import SilenceWatch
 from puffinford.core.stall import WATCH, StallWatch
 from puffinford.core.values import (
     Busy,
-    ClientLeg,
+    ClientConnection,
     Failed,
-    MachineList,
-    MachineSource,
     Opening,
-    RequestWatcher,
-    Restored,
-    ServerSide,
+    RequestObserver,
+    RestoredState,
+    ServerConnector,
+    ServerEntries,
+    ServerListSource,
 )
 
 ROUND = 1_000.0  # notes of slow messages come once a second
@@ -56,40 +56,40 @@
         settings: it.Settings,
         seed: int,
         clock: Clock,
-        sides: Mapping[str, ServerSide],
+        connectors: Mapping[str, ServerConnector],
     ) -> None:
         self._clock = clock
         self._balancer = Balancer(settings, seed)
         self._decisions = Decisions(self._balancer, clock, self._carry_out)
-        context = Context(clock, settings, random.Random(seed ^ 0x5EED), self._decisions.tell)
+        context = Context(clock, settings, random.Random(seed ^ 0x5EED), self._decisions.dispatch)
         context.configure(settings)
         self._context = context
-        self.figures = context.figures
+        self.counters = context.counters
         self._requests = context.requests
         self._servers = ServerTable(context)
         self._stall = StallWatch(clock)
         self._reports = LoadReports(context)
-        self._endings = Endings(context, self._reports)
+        self._completions = Completions(context, self._reports)
         self._answers = Answers(context)
         self._delays = DelayWatch(context)
-        self._silence = SilenceWatch(context, self._endings)
-        self._relay = Relay(context, self._endings, self._delays)
+        self._silence = SilenceWatch(context, self._completions)
+        self._relay = Relay(context, self._completions, self._delays)
         self._attempts = Attempts(
             context,
-            sides,
+            connectors,
             self._servers,
             self._stall,
-            Admission(clock, self._servers, self._endings),
-            self._endings,
+            Admission(clock, self._servers, self._completions),
+            self._completions,
             self._relay,
             self._reports,
         )
-        self._probes = Probes(context, sides, self._servers, self._reports)
-        self._drain = Drain(context, self._balancer, self._endings)
-        self._source: MachineSource | None = None
+        self._probes = Probes(context, connectors, self._servers, self._reports)
+        self._drain = Drain(context, self._balancer, self._completions)
+        self._source: ServerListSource | None = None
         self._tasks: anyio.abc.TaskGroup
 
-    async def run(self, source: MachineSource, restored: Restored | None = None) -> None:
+    async def run(self, source: ServerListSource, restored: RestoredState | None = None) -> None:
         """Serve until cancelled. Requests may come once this has started.
 
         `restored` is what there is to go by until the source has spoken.
@@ -99,12 +99,14 @@
             self._source = source
             self._stall.watch(source)
             if self._servers.cordoned:
-                self._tell(it.Cordoned(self._servers.cordoned))
+                self._dispatch(it.Cordoned(self._servers.cordoned))
             if restored is None:
-                self._tell(it.ServerList(it.ListKind.RESTORED))
+                self._dispatch(it.ServerList(it.ListKind.RESTORED))
             else:
-                self._take(restored.machines, it.ListKind.RESTORED)
-                self._tell(it.Unproven(restored.unproven, restored.most, restored.patience))
+                self._apply_list(restored.entries, it.ListKind.RESTORED)
+                self._dispatch(
+                    it.UnverifiedServers(restored.unverified, restored.max_attempts, restored.attempt_timeout)
+                )
                 self.learn(restored.health)
             await self._watch()
 
@@ -128,18 +130,18 @@
             self._balancer.configure(settings)
 
     @property
-    def watcher(self) -> RequestWatcher | None:
+    def observer(self) -> RequestObserver | None:
         """Who hears what becomes of requests."""
-        return self._context.watcher
+        return self._context.observer
 
-    @watcher.setter
-    def watcher(self, watcher: RequestWatcher | None) -> None:
-        self._context.watcher = watcher
+    @observer.setter
+    def observer(self, observer: RequestObserver | None) -> None:
+        self._context.observer = observer
 
     @property
-    def informed(self) -> bool:
+    def has_server_list(self) -> bool:
         """Whether there is a list to go by: from its source, or the known one when that says nothing."""
-        return self._servers.informed
+        return self._servers.has_server_list
 
     @property
     def serving(self) -> bool:
@@ -147,13 +149,13 @@
         return not self._drain.leaving
 
     @property
-    def leaving(self) -> Busy:
+    def shutdown_refusal(self) -> Busy:
         """The refusal of a process that is about to end."""
-        return self._context.leaving
+        return self._context.shutdown_refusal
 
     def gauges(self) -> dict[str, int]:
         """What stands now; what is left out is the module's word."""
-        excluded = self._balancer.known.excluded(self._clock.now())
+        excluded = self._balancer.listed_servers.excluded(self._clock.now())
         return {
             "in_flight": len(self._requests),
             "servers_known": len(self._servers),
@@ -162,42 +164,42 @@
 
     def health(self) -> list[it.Health]:
         """What the module knows of the servers besides the list."""
-        return self._balancer.known.health(self._clock.now())
+        return self._balancer.listed_servers.health(self._clock.now())
 
     def learn(self, health: list[it.Health]) -> None:
         """Tell the module what another process of this balancer knew."""
         if health:
-            self._tell(it.Learned(health))
+            self._dispatch(it.LearnedHealth(health))
 
     # What stands, for those who plan for it
 
-    def survey(self) -> list[it.Survey]:
+    def survey(self) -> list[it.ServerSnapshot]:
         """Every listed server as the module sees it."""
         return self._balancer.survey(self._clock.now())
 
-    def standing(self, server: str, most: int) -> list[tuple[it.Standing, bool]]:
+    def established_connections(self, server: str, most: int) -> list[tuple[it.EstablishedConnection, bool]]:
         """Some connections that stand at a server, each with whether all its lines are answered."""
         now = self._clock.now()
         told = []
-        for flow in self._balancer.known.standing(server, most):
+        for flow in self._balancer.listed_servers.sample_established(server, most):
             request = self._requests.get(flow.id)
-            if request is not None and request.standing and request.attempt is not None:
+            if request is not None and request.is_established and request.attempt is not None:
                 told.append((flow, request.attempt.unanswered.age(now) == 0.0))
         return told
 
-    def advise(self, ident: str) -> str | None:
+    def best_server(self, ident: str) -> str | None:
         """Where the module would place a standing connection now."""
-        return self._balancer.advise(ident, self._clock.now())
+        return self._balancer.best_server(ident, self._clock.now())
 
     def relocate(self, ident: str, server: str, hold: float) -> bool:
         """Move a connection, with a place kept for so many ms; tells whether it no longer stands."""
-        self._tell(it.Relocate(ident, server, hold))
+        self._dispatch(it.Relocate(ident, server, hold))
         request = self._requests.get(ident)
-        return request is None or request.ending is not None
+        return request is None or request.completion is not None
 
-    def favour(self, servers: frozenset[str]) -> None:
+    def prefer(self, servers: frozenset[str]) -> None:
         """Clients that come back are sent to these servers first, until the next call."""
-        self._tell(it.Favour(servers))
+        self._dispatch(it.PreferServers(servers))
 
     # The server list
 
@@ -205,40 +207,40 @@
         """These servers are out, and no others, whatever the server list says."""
         self._servers.cordoned = servers
         if self._source is not None:  # else the module is told first of all
-            self._tell(it.Cordoned(servers))
+            self._dispatch(it.Cordoned(servers))
 
-    def names(self, ident: str) -> bool:
+    def is_known_id(self, ident: str) -> bool:
         """Whether anybody has that id. One that is restarting may be off the list for now."""
-        return self._servers.names(ident)
+        return self._servers.is_known_id(ident)
 
-    def take_list(self, machines: MachineList | None) -> None:
+    def take_list(self, entries: ServerEntries | None) -> None:
         """A list has come, or (None) a call for one has failed."""
-        self._servers.take_list(machines)
-        if machines is not None:  # the call of before the stop, which fails at the wake, is no news
+        self._servers.take_list(entries)
+        if entries is not None:  # the call of before the stop, which fails at the wake, is no news
             self._stall.list_came()
 
-    def _take(self, machines: MachineList, kind: it.ListKind) -> None:
-        self._servers.take(machines, kind)
+    def _apply_list(self, entries: ServerEntries, kind: it.ListKind) -> None:
+        self._servers.take(entries, kind)
 
     # The decision module
 
-    def _tell(self, event: it.Event) -> None:
-        self._decisions.tell(event)
+    def _dispatch(self, event: it.Event) -> None:
+        self._decisions.dispatch(event)
 
     def _carry_out(self, action: it.Action) -> None:
         match action:
             case it.Attempt():
                 self._attempts.start(action)
             case it.Refuse():
-                self._endings.finish(action.id, Ending(Busy(action.retry_after, action.why.value)))
+                self._completions.finish(action.id, Completion(Busy(action.retry_after, action.reason.value)))
             case it.Fail():
-                self._endings.finish(action.id, Ending(Failed(action.why.value)))
+                self._completions.finish(action.id, Completion(Failed(action.reason.value)))
             case it.Cancel():
                 self._attempts.cancel(action)
             case it.Move():
                 request = self._requests.get(action.id)
-                if request is not None and request.standing:
-                    self._endings.close(request, Ending(move=True), it.Result.CANCELLED)
+                if request is not None and request.is_established:
+                    self._completions.close(request, Completion(move=True), it.Result.CANCELLED)
             case it.SetTimer():
                 self._tasks.start_soon(self._timer, action)
             case it.Subscribe():
@@ -256,16 +258,16 @@
 
     async def _timer(self, action: it.SetTimer) -> None:
         await self._clock.sleep(action.delay)
-        self._tell(it.Timer(action.token))
+        self._dispatch(it.Timer(action.token))
 
     # Requests
 
-    async def serve(self, opening: Opening, client: ClientLeg, room: bool = True) -> None:
+    async def serve(self, opening: Opening, client: ClientConnection, has_capacity: bool = True) -> None:
         """Serve one request to its end. Exactly one final answer goes to the client.
 
-        Without `room` for its connections that is a refusal at once.
+        Without `has_capacity` for its connections that is a refusal at once.
         """
-        refusal = self._refusal(opening, room)
+        refusal = self._refusal(opening, has_capacity)
         if refusal is not None:
             return await self._answers.refuse(client, refusal, opening)
         deadline = self._clock.now() + opening.wait
@@ -276,20 +278,20 @@
         except Exception:
             # Guards the one final answer, and the module's counts, against a fault in a side.
             log.exception("job failed", extra={"job": request.id})
-            self._endings.fault(request)
+            self._completions.fault(request)
         finally:
             del self._requests[request.id]
         await self._answers.end_legs(request)
 
-    def _refusal(self, opening: Opening, room: bool) -> Busy | Failed | None:
+    def _refusal(self, opening: Opening, has_capacity: bool) -> Busy | Failed | None:
         """The answer to an opening that is not taken at all."""
         if opening.cls not in self._context.classes:
             return Failed("unknown class")
         if opening.request_id in self._requests:
             return Failed("id in use")
         if self._drain.leaving:
-            return self.leaving
-        if not room:
+            return self.shutdown_refusal
+        if not has_capacity:
             return Busy(self._context.settings.max_retry_after, "no room")
         return None
 
@@ -301,7 +303,7 @@
                 tasks.start_soon(self._attempts.resume, request, request.opening.at)
             else:
                 tasks.start_soon(self._guard, request)
-                self._tell(request_of(request))
+                self._dispatch(request_of(request))
             await request.done.wait()
             tasks.cancel_scope.cancel()
 
@@ -311,9 +313,9 @@
         with self._clock.limit(request.deadline - self._clock.now() + slack):
             await request.up.wait()
             return
-        if request.ending is None and not request.standing:
+        if request.completion is None and not request.is_established:
             log.error("unanswered", extra={"job": request.id})
-            self._endings.abandon(request, Ending(Failed("out of time", late=True)))
+            self._completions.abandon(request, Completion(Failed("out of time", timed_out=True)))
 
     async def drain(self, settle: float, over: float) -> None:
         """Move every standing connection, spread evenly over `over` ms after `settle`; then end the others.
--- a/puffinford/core/load_reports.py
+++ b/puffinford/core/load_reports.py
@@ -4,7 +4,7 @@
 
 from puffinford.core.context import Context
 from puffinford.core.logger import log
-from puffinford.core.reports import BadReport, parse_report
+from puffinford.core.report_parser import BadReport, parse_report
 
 
 class LoadReports:
--- a/puffinford/core/notes.py
+++ b/puffinford/core/note_classifier.py
@@ -27,7 +27,7 @@
     at: float
 
 
-class NoteKinds:
+class NoteClassifier:
     """Tells notes of delay from notes of load by their row: one a second on one connection of a server.
 
     A line that could begin a row is held back until the second is over: taken for a load it would say that
--- a/puffinford/core/probes.py
+++ b/puffinford/core/probes.py
@@ -8,30 +8,34 @@
 from puffinford.core.context import Context
 from puffinford.core.load_reports import LoadReports
 from puffinford.core.servers import ServerTable
-from puffinford.core.values import ServerSide
+from puffinford.core.values import ServerConnector
 
 
 class Probes:
     """Makes the probes that the module decides on."""
 
     def __init__(
-        self, context: Context, sides: Mapping[str, ServerSide], servers: ServerTable, reports: LoadReports
+        self,
+        context: Context,
+        connectors: Mapping[str, ServerConnector],
+        servers: ServerTable,
+        reports: LoadReports,
     ) -> None:
         self._context = context
-        self._sides = sides
+        self._sides = connectors
         self._servers = servers
         self._reports = reports
 
     async def probe(self, ident: str) -> None:
         """Probe one server, and tell the module what came of it."""
         clock = self._context.clock
-        machine = self._servers.get(ident)
+        entry = self._servers.get(ident)
         started = clock.now()
         result, report = it.Result.CONNECT_FAILED, None
-        if machine is not None:
+        if entry is not None:
             settings = self._context.settings
             load = settings.report_on_probe
-            side = self._sides[machine.front]
-            result, text = await side.probe(machine, settings.connect_timeout, load)
+            side = self._sides[entry.front]
+            result, text = await side.probe(entry, settings.connect_timeout, load)
             report = self._reports.read(ident, text) if load else None
-        self._context.tell(it.ProbeResult(ident, result, clock.now() - started, report))
+        self._context.dispatch(it.ProbeResult(ident, result, clock.now() - started, report))
--- a/puffinford/core/reports.py
+++ b/puffinford/core/report_parser.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from puffinford.core.values import number
+from puffinford.core.values import parse_number
 
 VALUE_MOST = 1e9  # above this a field says nothing of a server
 
@@ -29,7 +29,7 @@
     for name in fields:
         if name not in found:
             raise BadReport(f"{name}: missing")
-        figure = number(found[name])
+        figure = parse_number(found[name])
         if figure is None or figure > VALUE_MOST:
             raise BadReport(f"{name}: {found[name][:40]!r} is no number from 0 to {VALUE_MOST:.0f}")
         row.append(figure)
--- a/puffinford/core/requests.py
+++ b/puffinford/core/requests.py
@@ -5,30 +5,30 @@
 import anyio
 import anyio.abc
 
-from puffinford.core.delays import Unanswered
-from puffinford.core.values import Busy, ClientLeg, Failed, Leg, Machine, Opening
+from puffinford.core.delays import UnansweredLines
+from puffinford.core.values import Busy, ClientConnection, Failed, Opening, PeerConnection, ServerEntry
 from puffinford.hashing import stable_hash
 
 
 class ServerAttempt:
     """One attempt at a server."""
 
-    __slots__ = ("leg", "machine", "number", "scope", "sent", "started", "unanswered")
+    __slots__ = ("connection", "entry", "number", "scope", "sent", "started", "unanswered")
 
-    def __init__(self, machine: Machine, number: int, started: float) -> None:
-        self.machine = machine
+    def __init__(self, entry: ServerEntry, number: int, started: float) -> None:
+        self.entry = entry
         self.number = number
         self.started = started
         self.scope = anyio.CancelScope()
-        self.leg: Leg | None = None  # set once it stands
+        self.connection: PeerConnection | None = None  # set once it stands
         self.sent = False  # the last byte of the opening was written: it may run
-        self.unanswered = Unanswered()
+        self.unanswered = UnansweredLines()
 
 
 class ClientRequest:
     """One request, from its opening to the end of its connection."""
 
-    def __init__(self, opening: Opening, client: ClientLeg, deadline: float) -> None:
+    def __init__(self, opening: Opening, client: ClientConnection, deadline: float) -> None:
         self.opening = opening
         self.client = client
         self.deadline = deadline
@@ -38,7 +38,7 @@
         self.up = anyio.Event()
         self.done = anyio.Event()
         self.left = False  # the client has ended its side
-        self.ending: Ending | None = None
+        self.completion: Completion | None = None
 
     @property
     def id(self) -> str:
@@ -50,11 +50,11 @@
         return number_of(self.opening.key)
 
     @property
-    def standing(self) -> bool:
-        return self.ending is None and self.attempt is not None and self.attempt.leg is not None
+    def is_established(self) -> bool:
+        return self.completion is None and self.attempt is not None and self.attempt.connection is not None
 
 
-class Ending:
+class Completion:
     """How a request ends: an answer, or what happens to both legs of a connection that stood."""
 
     __slots__ = ("answer", "broken", "move")
@@ -70,18 +70,18 @@
 class RequestTable(dict[str, ClientRequest]):
     """The requests that are served now, by id."""
 
-    def standing(self) -> list[tuple[ClientRequest, ServerAttempt]]:
+    def established(self) -> list[tuple[ClientRequest, ServerAttempt]]:
         """The requests whose connections stand, each with the attempt that does."""
         return [
             (request, request.attempt)
             for request in self.values()
-            if request.standing and request.attempt is not None
+            if request.is_established and request.attempt is not None
         ]
 
-    def stands(self, ident: str) -> bool:
+    def is_established(self, ident: str) -> bool:
         """Whether there is such a request and its connection stands."""
         request = self.get(ident)
-        return request is not None and request.standing
+        return request is not None and request.is_established
 
 
 def number_of(text: str) -> int:
--- a/puffinford/core/shutdown.py
+++ b/puffinford/core/shutdown.py
@@ -32,14 +32,14 @@
     kill_at: float  # the platform may kill
 
 
-def plan_shutdown(settings: Iterable[it.Settings], *, succeeded: bool) -> ShutdownPlan:
+def plan_shutdown(settings: Iterable[it.Settings], *, has_ready_successor: bool) -> ShutdownPlan:
     """The plan by the shortest reading of `settings`, of which there is one at least.
 
-    `succeeded`: a later version accepts already, so moved clients cannot come back here.
+    `has_ready_successor`: a later version accepts already, so moved clients cannot come back here.
     """
     longest = min(max(cls.deadline for cls in one.classes) for one in settings)
     kill_at = min(longest, DEADLINE_MOST) + KILL_AFTER
     close_at = kill_at - HELD_UP - CLOSING
     answer_at = max(ARRIVALS, close_at - LAST_ANSWERS)
-    move_from = 0.0 if succeeded else min(MOVE_FROM, answer_at)
+    move_from = 0.0 if has_ready_successor else min(MOVE_FROM, answer_at)
     return ShutdownPlan(move_from, answer_at, close_at, kill_at - LAST_CLOSES, kill_at)
--- a/puffinford/core/stall.py
+++ b/puffinford/core/stall.py
@@ -6,7 +6,7 @@
 
 from puffinford.core.clock import Clock
 from puffinford.core.logger import log
-from puffinford.core.values import MachineSource
+from puffinford.core.values import ServerListSource
 
 WATCH = 500.0  # between turns of the exchange's own loop, in ms
 STALLED = 300.0  # the program itself came this late to its turn: all limits were late by as much
@@ -18,12 +18,12 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._source: MachineSource | None = None
+        self._source: ServerListSource | None = None
         self._turned = clock.now()  # the last turn of the exchange's loop
         self._doubted = float("-inf")  # until then a list is waited for, since the program stood still ...
         self._news = anyio.Event()  # ... unless it has come
 
-    def watch(self, source: MachineSource) -> None:
+    def watch(self, source: ServerListSource) -> None:
         """Ask this source from now on."""
         self._source = source
 
--- a/puffinford/core/starts.py
+++ b/puffinford/core/start_times.py
@@ -6,9 +6,13 @@
 
 from puffinford.core.clock import Clock
 
-StartOf = Callable[[str, float], float]  # a server's id and its start in Unix ms, to ms of the host's clock
+StartTimeLookup = Callable[
+    [str, float], float
+]  # a server's id and its start in Unix ms, to ms of the host's clock
 
-SAME_START = 50.0  # ms; starts of a server this close are one: hosts count from clocks that round
+SAME_START_TOLERANCE_MS = (
+    50.0  # ms; starts of a server this close are one: hosts count from clocks that round
+)
 AHEAD_MOST = 7_200_000.0  # ms; a start further ahead is nonsense and says nothing of the wall clock
 STARTS_KEPT = 3  # of each server; a list that is behind may tell an earlier one again
 SERVERS_KEPT = 16_384  # those heard of longest ago are forgotten first
@@ -28,17 +32,17 @@
         # Unix ms less the clock's, at least: the list at hand tells a start so far ahead.
         self._behind = float("-inf")
 
-    def of(self, ident: str, unix_ms: float) -> float:
+    def local_time(self, ident: str, unix_ms: float) -> float:
         """The moment of a start; 0 (long ago) stays 0."""
         if unix_ms <= 0.0:
             return 0.0
         known = self._known.get(ident, [])
         for told, moment in known:
-            if abs(told - unix_ms) <= SAME_START:
+            if abs(told - unix_ms) <= SAME_START_TOLERANCE_MS:
                 return moment
         now = self._clock.now()
         moment = self._estimate(unix_ms, now)
-        if known and moment <= max(moment for _, moment in known) + SAME_START:
+        if known and moment <= max(moment for _, moment in known) + SAME_START_TOLERANCE_MS:
             # Guards a new start against a clock that has gone back: it comes after the last.
             moment = now
         self._keep(ident, [*known, (unix_ms, moment)][-STARTS_KEPT:])
@@ -46,17 +50,19 @@
 
     def restore(self, ident: str, unix_ms: float, moment: float) -> None:
         """A start that an earlier process has mapped; its word goes before an estimate of ours."""
-        others = [known for known in self._known.get(ident, []) if abs(known[0] - unix_ms) > SAME_START]
+        others = [
+            known for known in self._known.get(ident, []) if abs(known[0] - unix_ms) > SAME_START_TOLERANCE_MS
+        ]
         self._keep(ident, [(unix_ms, moment), *others][-STARTS_KEPT:])
 
-    def told(self, ident: str, moment: float) -> float:
+    def announced_time(self, ident: str, moment: float) -> float:
         """The Unix ms at which a server told the start of that moment; 0 where it did not."""
         for unix_ms, known in self._known.get(ident, []):
-            if abs(known - moment) <= SAME_START:
+            if abs(known - moment) <= SAME_START_TOLERANCE_MS:
                 return unix_ms
         return 0.0
 
-    def heard(self, newest: float) -> None:
+    def observe_latest(self, newest: float) -> None:
         """A list's latest start, in Unix ms, before any of that list is mapped.
 
         Guards a process that begins while the wall clock is behind against a fleet that seems to have started
--- a/puffinford/core/values.py
+++ b/puffinford/core/values.py
@@ -11,14 +11,14 @@
 from puffinford.interface import Health, Result, Server
 
 
-class BadOpening(Exception):
+class InvalidOpening(Exception):
     """An opening that asks for nothing that can be served; the text says why."""
 
 
 _NUMBER = re.compile(r"\d{1,15}(\.\d{1,15})?", re.ASCII)
 
 
-def number(text: str | None) -> float | None:
+def parse_number(text: str | None) -> float | None:
     """A plain number of 0 or more, or None.
 
     Guards against what only float() takes for one: exponents, underscores, spaces, infinity.
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Opening:
-    """What a client asks for. `figures` are all its named values in their order, `wait` (d) among them."""
+    """What a client asks for. `parameters` are all its named values in their order, `wait` (d) among them."""
 
     request_id: str  # the client's own id for it
     key: str
@@ -40,20 +40,22 @@
     came_back: bool = False
     at: str | None = None  # the server that already holds this connection
     load: float | None = None
-    figures: tuple[tuple[str, str | None], ...] = ()
+    parameters: tuple[tuple[str, str | None], ...] = ()
 
     @classmethod
-    def from_figures(cls, request_id: str, key: str, figures: tuple[tuple[str, str | None], ...]) -> Opening:
+    def from_parameters(
+        cls, request_id: str, key: str, parameters: tuple[tuple[str, str | None], ...]
+    ) -> Opening:
         """An opening from its named values, whichever front brought them; raises BadOpening."""
-        named = dict(figures)
-        if len(named) < len(figures):
+        named = dict(parameters)
+        if len(named) < len(parameters):
             # Guards against an opening that we and a server read differently.
-            raise BadOpening("a name stands there twice")
-        wait = number(named.get("d"))
+            raise InvalidOpening("a name stands there twice")
+        wait = parse_number(named.get("d"))
         if not named.get("c"):
-            raise BadOpening("no class")
+            raise InvalidOpening("no class")
         if wait is None:
-            raise BadOpening("d is no number of milliseconds")
+            raise InvalidOpening("d is no number of milliseconds")
         return cls(
             request_id,
             key,
@@ -64,12 +66,12 @@
             named.get("r") == "1",
             named.get("again") == "1",
             named.get("at") or None,
-            number(named.get("h")),
-            figures,
+            parse_number(named.get("h")),
+            parameters,
         )
 
 
-class Kind(Enum):
+class MessageKind(Enum):
     DATA = "data"
     BYE = "bye"  # the server has served the connection to its end
     MOVE = "move"  # the server sends its client away
@@ -84,7 +86,7 @@
     """
 
     data: bytes
-    kind: Kind = Kind.DATA
+    kind: MessageKind = MessageKind.DATA
     note: float = 0.0
     report: str = ""  # the load report of a BYE, as text
 
@@ -99,20 +101,20 @@
     """Trying again is harmless, and after how many ms."""
 
     retry_after: float = 0.0
-    why: str = ""  # for the log: what gave it up
+    reason: str = ""  # for the log: what gave it up
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
     reason: str = "failed"
-    late: bool = False  # the client's time was up
+    timed_out: bool = False  # the client's time was up
 
 
-class Ended(Exception):
+class PeerClosed(Exception):
     """The peer ended its side in order."""
 
 
-class Broken(Exception):
+class ConnectionBroken(Exception):
     """The connection broke."""
 
 
@@ -130,7 +132,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Machine:
+class ServerEntry:
     """An entry of the server list: what the decisions see of a server, its address and its front."""
 
     server: Server
@@ -140,32 +142,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MachineList:
+class ServerEntries:
     version: int
     full: bool
-    machines: list[Machine] = field(default_factory=list)
+    entries: list[ServerEntry] = field(default_factory=list)
 
     @property
     def size(self) -> int:
         """The number of entries."""
-        return len(self.machines)
+        return len(self.entries)
 
 
 @dataclass(frozen=True, slots=True)
-class Restored:
+class RestoredState:
     """What a start goes by before discovery has spoken: a list, and how far it can be relied on.
 
-    At most `most` attempts (0: any number) are out at once to entries in `unproven`, for `patience` ms each.
+    At most `max_attempts` attempts (0: any number) are out at once to entries in `unverified`, for
+    `attempt_timeout` ms each.
     """
 
-    machines: MachineList
-    unproven: frozenset[str] = frozenset()
-    most: int = 0
-    patience: float = 400.0
+    entries: ServerEntries
+    unverified: frozenset[str] = frozenset()
+    max_attempts: int = 0
+    attempt_timeout: float = 400.0
     health: list[Health] = field(default_factory=list)
 
 
-class Leg(Protocol):
+class PeerConnection(Protocol):
     """One side's connection of a request."""
 
     async def receive(self) -> Message:
@@ -184,8 +187,8 @@
         """Break the connection, so that the peer sees it broken."""
 
 
-class ClientLeg(Leg, Protocol):
-    async def left(self) -> bool:
+class ClientConnection(PeerConnection, Protocol):
+    async def has_left(self) -> bool:
         """Whether the client has ended or cancelled, as far as that has arrived, read or not."""
 
     async def answer(self, answer: Up | Busy | Failed) -> None:
@@ -195,42 +198,42 @@
         """Tell the client to come back through the front."""
 
 
-class ServerSide(Protocol):
-    async def claim(
+class ServerConnector(Protocol):
+    async def open_connection(
         self,
-        machine: Machine,
+        entry: ServerEntry,
         opening: Opening,
         wait: float,
         admit: Callable[[], Awaitable[None]],
         sent: Callable[[], None],
-    ) -> tuple[Leg, Up]:
+    ) -> tuple[PeerConnection, Up]:
         """Make an attempt; raises AttemptEnded with its result, TIMEOUT after `wait`.
 
         `admit` is awaited once the connection is there, right before the first byte of the opening, and may
         end the attempt; `sent` is called once its last byte has been written.
         """
 
-    async def probe(self, machine: Machine, wait: float, load: bool) -> tuple[Result, str]:
+    async def probe(self, entry: ServerEntry, wait: float, load: bool) -> tuple[Result, str]:
         """Whether the machine answers within `wait` ms; with `load` also its load report as text, if any."""
 
 
-class RequestWatcher(Protocol):
+class RequestObserver(Protocol):
     """Hears what becomes of requests. What it does takes no time and raises nothing."""
 
-    def came_up(self, key: int, cls: str, server: str, set_up: float) -> None:
+    def on_established(self, key: int, cls: str, server: str, set_up: float) -> None:
         """A connection stands, `set_up` ms after its opening came."""
 
-    def turned_away(self, key: int, cls: str, *, failed: bool) -> None:
+    def on_refused(self, key: int, cls: str, *, failed: bool) -> None:
         """A request of a known class was told to retry later, or (`failed`) got any other answer."""
 
-    def ended(self, key: int, cls: str, server: str, stood: float, *, cut: bool) -> None:
+    def on_closed(self, key: int, cls: str, server: str, stood: float, *, cut: bool) -> None:
         """A connection that stood for so many ms ended; `cut` where neither side wanted it."""
 
-    def late(self, server: str, delay: float) -> None:
+    def on_delay(self, server: str, delay: float) -> None:
         """Messages at a server take so many ms."""
 
 
-class MachineSource(Protocol):
+class ServerListSource(Protocol):
     """Where server lists come from; the exchange hears of each through `take_list`."""
 
     def subscribe(self, on: bool) -> None: ...
--- a/puffinford/known.py
+++ b/puffinford/decision_state.py
@@ -1,7 +1,7 @@
 """What the decision module knows: its servers, its requests, and the server list as it is told.
 
 Nothing here places, retries or refuses: `puffinford/balance.py` decides on these records. They keep the
-rule that no effect happens twice (`Flow.may_go_to`), for that rule binds whatever is decided.
+rule that no effect happens twice (`TrackedRequest.may_go_to`), for that rule binds whatever is decided.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from puffinford.hashing import stable_hash
 from puffinford.timers import Timers
 
-CARRIED = 100.0  # mean connections that a warm server is taken to carry until anything tells
-QUOTA_PART = 0.5  # of what the servers can carry is granted to tenants as quotas, about
+DEFAULT_WARM_CAPACITY = 100.0  # mean connections that a warm server is taken to carry until anything tells
+QUOTA_FRACTION = 0.5  # of what the servers can carry is granted to tenants as quotas, about
 ASK_MOST = 3_000.0  # between failed calls: discovery may be back, and 6 s later its news counts as told
 ASK_EACH = 25.0  # ms for each balancer that may ask for its first list at the same moment
 RESTART_LEAST = 50.0  # starts of a server this close are the same one
-ROOM_FOR = 30_000.0  # what late messages have told of a server's room is forgotten after this
+CAPACITY_ESTIMATE_TTL_MS = 30_000.0  # what late messages have told of a server's room is forgotten after this
 
 _STRICTNESS = {it.Effect.SAFE: 0, it.Effect.KEYED: 1, it.Effect.UNSAFE: 2}
 
@@ -27,11 +27,12 @@
     """What this balancer knows of one server."""
 
     __slots__ = (
-        "away_at", "carries", "cell", "chance", "cold_from", "cordoned", "cordoned_at", "credit",
-        "credit_until", "delay", "down", "failures", "flows", "groups", "id", "late_at", "late_notes",
-        "late_until", "listed", "load", "point", "probed_at", "reach", "relieve", "retry_at", "room",
-        "room_at", "size", "slow_until", "sound_at", "started", "trial", "turn", "turn_due", "unproven",
-        "used", "used_at", "used_since", "zone",
+        "capacity_estimate", "capacity_estimated_at", "cell", "chance", "cold_since", "cordoned",
+        "cordoned_at", "credit", "credit_until", "delay", "failures", "groups", "id", "late_notes",
+        "late_report_at", "late_until", "listed", "load", "point", "probed_at", "reach", "relieve",
+        "requests", "retry_at", "size", "slow_until", "sound_at", "started", "trial", "turn", "turn_due",
+        "unreachable", "unreachable_since", "unverified", "used", "used_at", "used_since", "warm_capacity",
+        "zone",
     )  # fmt: skip
 
     def __init__(self, server: it.Server) -> None:
@@ -47,21 +48,21 @@
         self.cordoned_at = 0.0  # ... at that time
         self.size = server.weight
         self.started = server.started
-        self.flows: dict[str, Flow] = {}  # own connections and attempts, by request id
+        self.requests: dict[str, TrackedRequest] = {}  # own connections and attempts, by request id
         self.load = 0.0  # their load, in mean connections
         self.groups: dict[int, int] = {}  # their groups, with the number of each
-        self.down = False  # unreachable until a trial stands
-        self.unproven = False  # named by an old list alone
-        self.away_at: float | None = None  # since when it has taken no connection, if it was tried
+        self.unreachable = False  # unreachable until a trial stands
+        self.unverified = False  # named by an old list alone
+        self.unreachable_since: float | None = None  # since when it has taken no connection, if it was tried
         self.failures = 0
         self.retry_at = 0.0
         self.sound_at = 0.0  # a trial stood: its failures are over once a connection outlasts this
         self.trial = ""  # the id of the request whose attempt is the trial, while that is out
         self.slow_until = 0.0  # messages there take long
         self.late_until = 0.0  # they have come too late for more than a moment
-        self.late_at = float("-inf")
-        self.room = float("inf")  # own load that it can carry, as late messages have shown ...
-        self.room_at = float("-inf")  # ... at that time
+        self.late_report_at = float("-inf")
+        self.capacity_estimate = float("inf")  # own load that it can carry, as late messages have shown ...
+        self.capacity_estimated_at = float("-inf")  # ... at that time
         self.chance = 0.0  # what a part of one connection has to come to, where views are thin
         self.late_notes = 0  # notes of late messages in a row
         self.relieve = False  # late, and asked for a report that tells how much to move
@@ -70,8 +71,10 @@
         self.used_since = 0.0  # load placed since that report
         self.used_at = float("-inf")
         self.probed_at = float("-inf")
-        self.cold_from: float | None = None  # when it started, while it may still be cold
-        self.carries = 0.0  # mean connections that it is taken to carry when warm, by which turns are counted
+        self.cold_since: float | None = None  # when it started, while it may still be cold
+        self.warm_capacity = (
+            0.0  # mean connections that it is taken to carry when warm, by which turns are counted
+        )
         self.turn = -1  # the last of this balancer's turns at it while it is cold ...
         self.credit = 0.0  # ... the sends left of it ...
         self.credit_until = 0.0  # ... until then
@@ -84,22 +87,22 @@
 
     def start_cold(self, since: float) -> None:
         """It has started, or may have: what was known of its health is over."""
-        self.cold_from = since
+        self.cold_since = since
         self.turn = -1
         self.turn_due = 0.0
         self.credit = 0.0
-        self.down = False
+        self.unreachable = False
         self.failures = 0
 
     def forget_load(self) -> None:
-        self.room = float("inf")
+        self.capacity_estimate = float("inf")
         self.chance = 0.0
-        self.room_at = self.late_at = float("-inf")
+        self.capacity_estimated_at = self.late_report_at = float("-inf")
         self.slow_until = self.late_until = self.delay = 0.0
         self.late_notes = 0
 
 
-class Flow:
+class TrackedRequest:
     """One request, from its arrival to its final answer or the end of its connection."""
 
     __slots__ = (
@@ -162,7 +165,7 @@
         return self.cls.effect is it.Effect.KEYED and self.cls.scope is it.Scope.ALL
 
 
-class Servers:
+class ListedServers:
     """The server list as told: its entries, what is taken out by hand, and the calls that keep it fresh."""
 
     def __init__(
@@ -212,7 +215,7 @@
             self.backends = {
                 ident: backend
                 for ident, backend in self.backends.items()
-                if backend.listed is not it.ServerState.GONE or backend.flows
+                if backend.listed is not it.ServerState.GONE or backend.requests
             }
         return changed
 
@@ -259,7 +262,7 @@
         # Where the longest pause is the bound, short ones bring nothing but more calls.
         least = window / 2.0 if window == ASK_MOST else 0.0
         self._asking = True
-        self._timers.at(self._now + least + self._rng.random() * (window - least), self._ask)
+        self._timers.call_at(self._now + least + self._rng.random() * (window - least), self._ask)
 
     def _ask(self) -> None:
         self._act(it.Subscribe(True))
@@ -271,38 +274,54 @@
         return {
             ident
             for ident, backend in self.backends.items()
-            if not backend.open or backend.down or backend.slow_until > now
+            if not backend.open or backend.unreachable or backend.slow_until > now
         }
 
     def health(self, now: float) -> list[it.Health]:
         """What is known of the servers of which there is anything to tell."""
         told = []
-        roomy = now - ROOM_FOR
+        roomy = now - CAPACITY_ESTIMATE_TTL_MS
         for b in self.backends.values():
-            found_cold = b.cold_from is not None and b.cold_from != b.started  # else the list tells it
-            if not (b.down or found_cold or b.room_at > roomy or b.slow_until or b.late_until):
+            found_cold = b.cold_since is not None and b.cold_since != b.started  # else the list tells it
+            if not (
+                b.unreachable or found_cold or b.capacity_estimated_at > roomy or b.slow_until or b.late_until
+            ):
                 continue  # guards the core: of most of thousands there is nothing to tell
-            failures = b.failures if b.down else 0
-            room = b.room if now < b.room_at + ROOM_FOR else None
+            failures = b.failures if b.unreachable else 0
+            capacity_estimate = (
+                b.capacity_estimate if now < b.capacity_estimated_at + CAPACITY_ESTIMATE_TTL_MS else None
+            )
             busy = max(b.slow_until, b.late_until) > now
-            if failures or room is not None or found_cold or busy:
-                health = (b.id, now, failures, b.retry_at, b.away_at, b.slow_until, max(b.late_at, 0.0))
-                told.append(it.Health(*health, b.delay, room, max(b.room_at, 0.0), b.cold_from))
+            if failures or capacity_estimate is not None or found_cold or busy:
+                health = (
+                    b.id,
+                    now,
+                    failures,
+                    b.retry_at,
+                    b.unreachable_since,
+                    b.slow_until,
+                    max(b.late_report_at, 0.0),
+                )
+                told.append(
+                    it.Health(
+                        *health, b.delay, capacity_estimate, max(b.capacity_estimated_at, 0.0), b.cold_since
+                    )
+                )
         return told
 
-    def standing(self, server: str, most: int) -> list[it.Standing]:
+    def sample_established(self, server: str, most: int) -> list[it.EstablishedConnection]:
         """At most so many of the own connections that stand at a server, drawn at random."""
         backend = self.backends.get(server)
         if backend is None:
             return []
-        flows = [f for f in backend.flows.values() if f.standing and f.key is not None]
-        if len(flows) > most:
-            flows = self.doubles.sample(flows, most)
+        requests = [f for f in backend.requests.values() if f.standing and f.key is not None]
+        if len(requests) > most:
+            requests = self.doubles.sample(requests, most)
         told = []
-        for f in flows:
+        for f in requests:
             group = f.group if self._settings.grouped else None
             members = backend.groups[group] if group is not None else 0
             assert f.key is not None
             row = (f.id, f.key, f.cls.name, f.load, group, f.sent_at, f.came_back, members)
-            told.append(it.Standing(*row))
+            told.append(it.EstablishedConnection(*row))
         return told
--- a/puffinford/fleet.py
+++ b/puffinford/fleet.py
@@ -12,8 +12,8 @@
 from operator import attrgetter
 
 from puffinford import interface as it
-from puffinford.hashing import mixed, scrambled, scrambled_all
-from puffinford.known import CARRIED, QUOTA_PART, Backend, Servers
+from puffinford.decision_state import DEFAULT_WARM_CAPACITY, QUOTA_FRACTION, Backend, ListedServers
+from puffinford.hashing import hash_fraction, scrambled, scrambled_all
 from puffinford.timers import Timers
 
 THIN = 12.0  # own part of what a server carries, in connections, under which one connection is a large step
@@ -89,7 +89,7 @@
         self._whole = count >= len(ranks)
 
 
-class Fleet(Servers):
+class Fleet(ListedServers):
     """The server list, and the order of this balancer in it."""
 
     def __init__(
@@ -108,7 +108,9 @@
         self._cold: list[Backend] = []  # as `cold_due` found them last
         self._cold_until = float("-inf")
         self.most = 0  # servers that were up together, at most
-        self.carries = CARRIED  # connections that a warm one can be counted on to carry, for all balancers
+        self.warm_capacity = (
+            DEFAULT_WARM_CAPACITY  # connections that a warm one can be counted on to carry, for all balancers
+        )
         self.mean_size = 0.0  # 0 where sizes are not told
         self.quotas = 0.0  # connections of all tenants
         self.thin = False  # this balancer sees so little of each that its own steps are all or nothing
@@ -145,8 +147,8 @@
         self.mean_size = sum(sizes) / len(sizes) if self._settings.sized and sizes else 0.0
         self.quotas = sum(tenant.quota for tenant in self._settings.tenants)
         if self.quotas:
-            self.carries = self.quotas / QUOTA_PART / max(1, self.most)
-        self.thin = self.carries < THIN * self._settings.balancers
+            self.warm_capacity = self.quotas / QUOTA_FRACTION / max(1, self.most)
+        self.thin = self.warm_capacity < THIN * self._settings.balancers
         self._note_changes(sorted(live, key=attrgetter("reach")))
         self._cold_until = float("-inf")
         start = int((self._settings.me + 0.5) / self._settings.balancers * len(live)) % max(1, len(live))
@@ -159,7 +161,7 @@
         """
         if now >= self._cold_until:
             self._cold_until = soon = now + COLD_LOOK
-            cold = [b for b in self.common if b.cold_from is not None]
+            cold = [b for b in self.common if b.cold_since is not None]
             self._cold = [b for b in cold if b.turn_due <= soon or b.credit >= 1.0]
         return self._cold
 
@@ -208,4 +210,4 @@
 
     def _start(self, group: int) -> int:
         """Where in the common order a group begins, where balancers are few."""
-        return int(mixed(group) * len(self.common))
+        return int(hash_fraction(group) * len(self.common))
--- a/puffinford/fronts/accepting.py
+++ b/puffinford/fronts/accepting.py
@@ -1,6 +1,7 @@
 """Listeners, who is let in, and who gives way: the bounds on connections that have not asked for anything.
 
-Each bound stands here once. Silent ones: `Door`. Descriptors: `puffinford.fronts.sockets.Budget`.
+Each bound stands here once. Silent ones: `ConnectionTracker`. Descriptors:
+`puffinford.fronts.sockets.DescriptorBudget`.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 import anyio.abc
 
 from puffinford.core.clock import Clock
-from puffinford.core.lacks import OWN_LACK
-from puffinford.fronts.sockets import LAST_MOST, Budget, Wire, socket_address
-from puffinford.logs import Seldom
+from puffinford.core.transient_errors import LOCAL_SHORTAGE_ERRNOS
+from puffinford.fronts.sockets import LAST_MOST, DescriptorBudget, TcpStream, socket_address
+from puffinford.logs import RateLimitedLog
 
 log = logging.getLogger("puffinford.fronts.sockets")  # operators find these lines by `from`
-seldom = Seldom(log)
+limited_log = RateLimitedLog(log)
 
 ACCEPT_RETRY = 50.0  # after a failed accept, as when descriptors have run out
-ACCEPT_TURN = 16  # connections accepted before others have their turn
+MAX_ACCEPTS_PER_TURN = 16  # connections accepted before others have their turn
 BACKLOG = 1024
 WAITING_PART = 4  # connections without a request may hold this part of the descriptors: one of four
 TURNED_AWAY = 8  # newcomers without a place that are heard and answered at once, out of the reserve ...
@@ -41,10 +42,10 @@
     )
 )  # fmt: skip
 
-Handler = Callable[[Wire], Awaitable[None]]
+Handler = Callable[[TcpStream], Awaitable[None]]
 
 
-class Door:
+class ConnectionTracker:
     """The connections that have not asked for anything yet, the one that has been quiet longest first.
 
     Guards against peers that connect by the thousands and say nothing, or stop half way: together these
@@ -52,17 +53,17 @@
     something says so at once, or writes on.
     """
 
-    def __init__(self, clock: Clock, budget: Budget, part: int = WAITING_PART) -> None:
+    def __init__(self, clock: Clock, budget: DescriptorBudget, idle_divisor: int = WAITING_PART) -> None:
         self.clock = clock
         self.budget = budget
-        self._part = part
+        self._part = idle_divisor
         self._waiting: dict[object, anyio.CancelScope] = {}
         self._sessions: set[anyio.CancelScope] = set()
-        self._served: set[Wire] = set()
+        self._served: set[TcpStream] = set()
         self.dismissed = False  # the process ends: nobody is waited for any more
 
     @contextmanager
-    def wait(self, ms: float) -> Iterator[Callable[[], None]]:
+    def evictable_wait(self, ms: float) -> Iterator[Callable[[], None]]:
         """What is within is cancelled after so long, or when its place is needed.
 
         It calls what it is given at each sign of life from its peer.
@@ -76,23 +77,23 @@
                 del self._waiting[token]
 
     @contextmanager
-    def serving(self, wire: Wire) -> Iterator[None]:
+    def serving(self, stream: TcpStream) -> Iterator[None]:
         """A connection that was let in, until it has ended."""
-        self._served.add(wire)
+        self._served.add(stream)
         try:
             yield
         finally:
-            self._served.discard(wire)
+            self._served.discard(stream)
 
     @property
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """Whether every connection that was let in has ended."""
         return not self._served
 
     @property
-    def answered(self) -> bool:
+    def all_answered(self) -> bool:
         """Whether all that are still open have been told all that they will be."""
-        return all(wire.ending for wire in self._served)
+        return all(stream.ending for stream in self._served)
 
     @contextmanager
     def session(self, scope: anyio.CancelScope) -> Iterator[None]:
@@ -108,20 +109,22 @@
         for scope in list(self._sessions):
             scope.cancel()
 
-    def dismiss(self) -> None:
+    def evict_all(self) -> None:
         """Send everybody away who has not asked: each is answered, and its connection ended."""
         self.dismissed = True
         for scope in list(self._waiting.values()):
             scope.cancel()
 
-    def make_room(self, short: bool = False) -> bool:
+    def ensure_capacity(self, short: bool = False) -> bool:
         """Send the quietest away where there is no room for one more; tells whether there is room now.
 
         `short`: the system has refused a descriptor, whatever the budget says of them.
         """
         scopes = [scope for scope in self._waiting.values() if not scope.cancel_called]
-        part = self._part * 2 if self.budget.elsewhere() else self._part  # two versions share the part too
-        crowd = len(scopes) + self.budget.lingering - max(1, self.budget.limit // part) + 1
+        idle_divisor = (
+            self._part * 2 if self.budget.used_elsewhere() else self._part
+        )  # two versions share the part too
+        crowd = len(scopes) + self.budget.lingering - max(1, self.budget.limit // idle_divisor) + 1
         going = max(0, crowd, int(self.budget.full), SHORT_OF if short else 0)
         going -= self.budget.spare(going)
         for scope in scopes[:going]:
@@ -134,15 +137,15 @@
     return "{}:{}".format(*listener.getsockname()[:2])
 
 
-def bind(address: tuple[str, int], *, beside: bool = False) -> socket.socket:
-    """A listener; `beside` another version's at the same address."""
+def bind(address: tuple[str, int], *, share_port: bool = False) -> socket.socket:
+    """A listener; `share_port` another version's at the same address."""
     family, target = socket_address(*address)
-    listener = socket.create_server(target, family=family, backlog=BACKLOG, reuse_port=beside)
+    listener = socket.create_server(target, family=family, backlog=BACKLOG, reuse_port=share_port)
     listener.setblocking(False)
     return listener
 
 
-def inherited(descriptor: int) -> socket.socket:
+def inherited_listener(descriptor: int) -> socket.socket:
     """A listener on the platform's listening socket; raises OSError where the descriptor is none.
 
     The socket is the same in all processes: it is closed here, and never shut down, which would end it there.
@@ -158,13 +161,13 @@
     return listener
 
 
-async def accept_all(
+async def accept_connections(
     listener: socket.socket,
     handle: Handler,
-    door: Door,
+    tracker: ConnectionTracker,
     tasks: anyio.abc.TaskGroup,
     scope: anyio.CancelScope,
-    turn: int = ACCEPT_TURN,
+    turn: int = MAX_ACCEPTS_PER_TURN,
     shared: bool = False,
     turn_away: Handler | None = None,
 ) -> None:
@@ -177,24 +180,24 @@
     turned = 0
     lacks = 0  # accepts in a row that failed for what this machine lacks
 
-    async def guarded(wire: Wire, handle: Handler = handle) -> None:
-        with door.serving(wire):
+    async def guarded(stream: TcpStream, handle: Handler = handle) -> None:
+        with tracker.serving(stream):
             try:
-                await handle(wire)
+                await handle(stream)
             except Exception:
                 log.exception("connection failed")
             finally:
-                wire.close()
+                stream.close()
 
-    async def answered(wire: Wire) -> None:
+    async def all_answered(stream: TcpStream) -> None:
         nonlocal turned
         assert turn_away is not None
         try:
-            with door.clock.limit(TURNED_FOR + LAST_MOST):
-                await guarded(wire, turn_away)
+            with tracker.clock.limit(TURNED_FOR + LAST_MOST):
+                await guarded(stream, turn_away)
         finally:
             turned -= 1
-            wire.close()
+            stream.close()
 
     def take(most: int) -> None:
         nonlocal turned
@@ -210,16 +213,16 @@
                 if exc.errno not in PEER_GONE or gone >= GONE_MOST:
                     raise
                 continue
-            wire = Wire(sock, door.clock, door.budget)
-            if door.make_room():
-                tasks.start_soon(guarded, wire)
+            stream = TcpStream(sock, tracker.clock, tracker.budget)
+            if tracker.ensure_capacity():
+                tasks.start_soon(guarded, stream)
             else:
-                seldom.warning("no room", open=door.budget.used, limit=door.budget.limit)
+                limited_log.warning("no room", open=tracker.budget.used, limit=tracker.budget.limit)
                 if turn_away is not None and turned < TURNED_AWAY:
                     turned += 1
-                    tasks.start_soon(answered, wire)
+                    tasks.start_soon(all_answered, stream)
                 else:
-                    wire.close()
+                    stream.close()
 
     async def take_or_wait(most: int) -> bool:
         """Whether so many, or all that wait, were taken."""
@@ -231,9 +234,9 @@
             # kernel lacks for a moment sends nobody away.
             log.warning("accept failed", extra={"error": str(exc)})
             lacks += 1
-            lasts = exc.errno in OWN_LACK and lacks >= LACK_LASTS
-            door.make_room(short=exc.errno == errno.EMFILE or lasts)
-            await door.clock.sleep(ACCEPT_RETRY)
+            lasts = exc.errno in LOCAL_SHORTAGE_ERRNOS and lacks >= LACK_LASTS
+            tracker.ensure_capacity(short=exc.errno == errno.EMFILE or lasts)
+            await tracker.clock.sleep(ACCEPT_RETRY)
             return False
         lacks = 0
         return True
--- a/puffinford/fronts/channels/codec.py
+++ b/puffinford/fronts/channels/codec.py
@@ -18,7 +18,7 @@
 PAYLOAD_AT = 5  # bytes before the payload of a packet: its length and that of its padding
 
 DOMAIN = "puffinford.example"
-JOB = f"job@{DOMAIN}"  # the channel type: one channel is one request
+REQUEST_CHANNEL = f"job@{DOMAIN}"  # the channel type: one channel is one request
 MOVE = f"move@{DOMAIN}"
 BYE = f"bye@{DOMAIN}"
 NOTE = f"note@{DOMAIN}"
@@ -48,7 +48,7 @@
         self.reason = reason
 
 
-class Reader:
+class PayloadReader:
     """Takes the basic types of RFC 4251, section 5, off a payload."""
 
     def __init__(self, data: bytes) -> None:
@@ -260,11 +260,11 @@
     99: ChannelSuccess,
     100: ChannelFailure,
 }
-_READ: dict[str, Callable[[Reader], object]] = {
-    "int": Reader.uint32,
-    "str": Reader.text,
-    "bytes": Reader.string,
-    "bool": Reader.boolean,
+_READ: dict[str, Callable[[PayloadReader], object]] = {
+    "int": PayloadReader.uint32,
+    "str": PayloadReader.text,
+    "bytes": PayloadReader.string,
+    "bool": PayloadReader.boolean,
 }
 _WRITE: dict[str, Callable[..., bytes]] = {"int": uint32, "str": string, "bytes": string, "bool": boolean}
 _LAYOUTS = {
@@ -275,7 +275,7 @@
 
 
 def decode(payload: bytes) -> Message:
-    reader = Reader(payload)
+    reader = PayloadReader(payload)
     number = reader.byte()
     if 20 <= number <= 49:
         raise Malformed("no key exchange here", KEY_EXCHANGE_FAILED)
@@ -305,7 +305,7 @@
     return uint32(1 + len(payload) + padding) + bytes((padding,)) + payload + bytes(padding)
 
 
-class Packets:
+class PacketReader:
     """Cuts a stream of bytes into its version line and then into payloads."""
 
     def __init__(self, banner: bool) -> None:
--- a/puffinford/fronts/channels/mux.py
+++ b/puffinford/fronts/channels/multiplexer.py
@@ -15,10 +15,10 @@
 import anyio.abc
 
 from puffinford.core.clock import Clock
-from puffinford.core.values import Broken, Ended
-from puffinford.fronts.accepting import Door
+from puffinford.core.values import ConnectionBroken, PeerClosed
+from puffinford.fronts.accepting import ConnectionTracker
 from puffinford.fronts.channels import codec
-from puffinford.fronts.sockets import Wire
+from puffinford.fronts.sockets import TcpStream
 
 log = logging.getLogger(__name__)
 
@@ -45,8 +45,8 @@
 class Channel:
     """One channel, as either end sees it."""
 
-    def __init__(self, mux: Mux, local: int) -> None:
-        self.mux = mux
+    def __init__(self, multiplexer: Multiplexer, local: int) -> None:
+        self.multiplexer = multiplexer
         self.local = local
         self.remote: int | None = None
         self.confirmation = b""
@@ -75,9 +75,9 @@
         """The next bytes or request; Ended after EOF, Broken after a close without one."""
         while not self._in:
             if self._eof_in:
-                raise Ended
+                raise PeerClosed
             if self._closed_in or self._closed_out or self.gone:
-                raise Broken("channel closed")
+                raise ConnectionBroken("channel closed")
             self._came = anyio.Event()
             await self._came.wait()
         item = self._in.popleft()
@@ -89,7 +89,7 @@
         """Give back the window that taken bytes held."""
         self._window_in += count
         if not (self._closed_in or self._closed_out or self._eof_in) and self.remote is not None:
-            self.mux.post(codec.WindowAdjust(self.remote, count))
+            self.multiplexer.post(codec.WindowAdjust(self.remote, count))
 
     async def send(self, data: bytes) -> None:
         """Send bytes whole, in their order, as the peer's window allows.
@@ -98,27 +98,27 @@
         and what is posted with `post_last` comes after it.
         """
         if self._closed_in or self._closed_out or self._eof_out or self.gone:
-            raise Broken("channel closed")
+            raise ConnectionBroken("channel closed")
         self._out += data
         self._drained = anyio.Event() if self._drained.is_set() else self._drained
-        self.mux.wake(self)
+        self.multiplexer.wake(self)
         await self.drained()
 
     async def drained(self) -> None:
         """Wait until all that was queued is on its way."""
         while self._out:
             if self._closed_in or self._closed_out or self.gone:
-                raise Broken("channel closed")
+                raise ConnectionBroken("channel closed")
             await self._drained.wait()
 
     def request(self, name: str, extra: bytes = b"") -> None:
         if self.remote is not None and not (self._closed_out or self._eof_out or self.gone):
-            self.mux.post(codec.ChannelRequest(self.remote, name, False, extra))
+            self.multiplexer.post(codec.ChannelRequest(self.remote, name, False, extra))
 
     def eof(self) -> None:
         if self.remote is not None and not (self._eof_out or self._closed_out or self.gone):
             self._eof_out = True
-            self.mux.post(codec.Eof(self.remote))
+            self.multiplexer.post(codec.Eof(self.remote))
 
     def close(self) -> None:
         """Close our side; what was queued and not sent is dropped."""
@@ -126,7 +126,7 @@
         self._drained.set()
         if self.open and self.remote is not None and not (self._closed_out or self.gone):
             self._closed_out = True
-            self.mux.post(codec.Close(self.remote))
+            self.multiplexer.post(codec.Close(self.remote))
         self._came.set()
         self._forget()
 
@@ -139,15 +139,15 @@
 
     def _forget(self) -> None:
         if self._closed_in and self._closed_out:
-            self.mux.forget(self)
+            self.multiplexer.forget(self)
 
     @property
     def closing(self) -> bool:
         return self._closed_out
 
-    async def left(self) -> bool:
+    async def has_left(self) -> bool:
         """Whether the peer has given the channel up, or is gone, read or not."""
-        return await self.mux.ended() or self._closed_in or self._eof_in or self.gone
+        return await self.multiplexer.ended() or self._closed_in or self._eof_in or self.gone
 
     def withdraw(self) -> None:
         """The peer has given up an open that is not answered yet: for its request the channel has closed."""
@@ -190,12 +190,12 @@
                 self._window_out += count
                 if self._window_out > WINDOW_MOST:
                     raise codec.Malformed(f"window of channel {self.local} past 2^32 - 1")
-                self.mux.wake(self)
+                self.multiplexer.wake(self)
             case codec.ChannelRequest():
                 if message.name in (codec.MOVE, codec.BYE, codec.NOTE):
                     self._in.append(message)
                 elif message.want_reply and self.remote is not None:
-                    self.mux.post(codec.ChannelFailure(self.remote))
+                    self.multiplexer.post(codec.ChannelFailure(self.remote))
             case codec.Eof():
                 self._eof_in = True
             case codec.Close():
@@ -204,7 +204,7 @@
                 self._drained.set()
                 if not self._closed_out and self.remote is not None:
                     self._closed_out = True
-                    self.mux.post(codec.Close(self.remote))
+                    self.multiplexer.post(codec.Close(self.remote))
                 self._forget()
         self._came.set()
 
@@ -227,20 +227,20 @@
         self._came.set()
 
 
-class Mux:
+class Multiplexer:
     """A connection. `on_open` answers what the peer opens; without it, none may."""
 
     def __init__(
         self,
-        wire: Wire,
+        stream: TcpStream,
         clock: Clock,
         *,
         client: bool,
         on_open: Callable[[Channel, Open], None] | None = None,
-        door: Door | None = None,
+        tracker: ConnectionTracker | None = None,
     ) -> None:
-        self._wire = wire
-        self._door = door  # where a connection without a channel waits; a server's needs none
+        self._stream = stream
+        self._tracker = tracker  # where a connection without a channel waits; a server's needs none
         self._clock = clock
         self._client = client
         self._on_open = on_open
@@ -274,7 +274,7 @@
             for channel in pending:
                 channel.lost()
             self._channels.clear()
-            await self._wire.end()
+            await self._stream.end()
 
     async def _goodbye(self, fault: codec.Malformed | None, pending: list[Channel]) -> None:
         """Answer each open that still waits, close what stands, say why, and go."""
@@ -290,24 +290,24 @@
         if fault is not None:
             log.warning("malformed", extra={"error": str(fault), "reason": reason})
         last.append(codec.Disconnect(reason, str(fault or "end of service")))
-        with contextlib.suppress(Broken):
-            await self._wire.finish(b"".join(map(codec.encode, last)))
+        with contextlib.suppress(ConnectionBroken):
+            await self._stream.finish(b"".join(map(codec.encode, last)))
 
     # Reading
 
     async def ended(self) -> bool:
         """Whether the peer's end has arrived; what came before it has been taken in."""
-        return self.over or await self._wire.ended()
+        return self.over or await self._stream.ended()
 
     async def _read(self) -> codec.Malformed | None:
-        packets = codec.Packets(banner=self._client)
+        packets = codec.PacketReader(banner=self._client)
         try:
             with self._waiting(HELLO) as heard:
                 while packets.version is None:
-                    self._hello(packets, await self._wire.read())
+                    self._hello(packets, await self._stream.read())
                     heard()
             if packets.version is None:
-                self._hello(packets, self._wire.read_ready())
+                self._hello(packets, self._stream.read_ready())
             if packets.version is None:
                 if self._dismissed:
                     return None
@@ -332,10 +332,10 @@
                     return codec.Malformed("too many answers unread")
                 chunk = b""
                 with self._patience(packets, half_since):
-                    chunk = await self._wire.read()
+                    chunk = await self._stream.read()
                 if not chunk and not overdue:
                     # Guards an open that came in the moment in which the time was up, or its place needed.
-                    chunk, overdue = self._wire.read_ready(), half_since is not None
+                    chunk, overdue = self._stream.read_ready(), half_since is not None
                 if not chunk:
                     if self._dismissed:
                         return None
@@ -345,18 +345,18 @@
                 self.heard_at = self._clock.now()
         except codec.Malformed as exc:
             return exc
-        except (Ended, Broken):
+        except (PeerClosed, ConnectionBroken):
             return None
 
     def _session(self) -> contextlib.AbstractContextManager[None]:
         """Where the end of the process ends this connection, whatever channels its peer leaves open."""
-        return contextlib.nullcontext() if self._door is None else self._door.session(self._reading)
+        return contextlib.nullcontext() if self._tracker is None else self._tracker.session(self._reading)
 
     @property
     def _dismissed(self) -> bool:
-        return self._door is not None and self._door.dismissed
+        return self._tracker is not None and self._tracker.dismissed
 
-    def _hello(self, packets: codec.Packets, chunk: bytes) -> None:
+    def _hello(self, packets: codec.PacketReader, chunk: bytes) -> None:
         """Take in what came before or with the version line."""
         packets.feed(chunk)
         payload = packets.next()
@@ -366,26 +366,26 @@
 
     @property
     def _idle(self) -> bool:
-        return self._door is not None and not self._channels
+        return self._tracker is not None and not self._channels
 
     def _patience(
-        self, packets: codec.Packets, half_since: float | None
+        self, packets: codec.PacketReader, half_since: float | None
     ) -> contextlib.AbstractContextManager[object]:
         """How long the peer's next bytes are waited for.
 
         Guards the descriptors against peers that stop in the middle of a request: its half is given as long
         as a version line, whatever the connection may rest otherwise.
         """
-        if self._door is not None and half_since is not None and (self._idle or packets.opening):
+        if self._tracker is not None and half_since is not None and (self._idle or packets.opening):
             left = half_since + HELLO - self._clock.now()
-            return self._door.wait(left) if self._idle else self._clock.limit(left)
+            return self._tracker.evictable_wait(left) if self._idle else self._clock.limit(left)
         return self._waiting(IDLE) if self._idle else contextlib.nullcontext()
 
     @contextlib.contextmanager
     def _waiting(self, ms: float) -> Iterator[Callable[[], object]]:
         with contextlib.ExitStack() as stack:
-            if self._door is not None:
-                yield stack.enter_context(self._door.wait(ms))
+            if self._tracker is not None:
+                yield stack.enter_context(self._tracker.evictable_wait(ms))
             else:
                 stack.enter_context(self._clock.limit(ms))
                 yield int  # nobody asks
@@ -406,7 +406,7 @@
                     channel.settled.set()
             case codec.GlobalRequest():
                 if message.name == codec.CANCEL:
-                    number = codec.Reader(message.extra).uint32()
+                    number = codec.PayloadReader(message.extra).uint32()
                     channel = self._theirs.get(number)
                     if channel is not None and not channel.settled.is_set():
                         channel.withdraw()
@@ -434,7 +434,7 @@
         sender = message.sender
         if sender in self._theirs:
             raise codec.Malformed(f"channel {sender} is open already")
-        if self._on_open is None or message.kind != codec.JOB:
+        if self._on_open is None or message.kind != codec.REQUEST_CHANNEL:
             self.post(codec.OpenFailure(sender, codec.UNKNOWN_TYPE, f"unknown type {message.kind[:60]}"))
         elif len(self._channels) >= CHANNELS_MOST:
             self.post(
@@ -485,12 +485,14 @@
     async def open(self, extra: bytes, sent: Callable[[], None]) -> Channel:
         """Open a channel; it is settled once the peer has answered. `sent` hears that the open is out."""
         if self.over:
-            raise Broken("connection over")
+            raise ConnectionBroken("connection over")
         if len(self._channels) >= CHANNELS_MOST:
             raise Refused(codec.RESOURCE_SHORTAGE, "too many channels")
         channel = self._new()
         channel.on_sent = sent
-        channel.request_open = codec.ChannelOpen(codec.JOB, channel.local, WINDOW, codec.PAYLOAD_MOST, extra)
+        channel.request_open = codec.ChannelOpen(
+            codec.REQUEST_CHANNEL, channel.local, WINDOW, codec.PAYLOAD_MOST, extra
+        )
         self.post(channel.request_open)
         self._control.append(channel)  # marks it as sent once the writer has passed it
         return channel
@@ -533,7 +535,7 @@
     async def _write(self) -> None:
         """What is posted goes first, then one packet of each channel that has data, in turn."""
         try:
-            await self._wire.write(codec.VERSION.encode() + b"\r\n")
+            await self._stream.write(codec.VERSION.encode() + b"\r\n")
             while True:
                 self._work = anyio.Event()
                 while self._control or self._ready:
@@ -552,11 +554,11 @@
                             batch += codec.encode(data)
                             self._ready.append(channel)
                     if batch:
-                        await self._wire.write(bytes(batch))
+                        await self._stream.write(bytes(batch))
                     for channel in sent:
                         channel.sent_open = True
                         if channel.on_sent is not None:
                             channel.on_sent()
                 await self._work.wait()
-        except Broken:
+        except ConnectionBroken:
             pass  # the reader hears it too
--- a/puffinford/fronts/channels/opening.py
+++ b/puffinford/fronts/channels/opening.py
@@ -5,9 +5,9 @@
 import math
 import re
 
-from puffinford.core.values import BadOpening, Busy, Failed, Opening
+from puffinford.core.values import Busy, Failed, InvalidOpening, Opening
 from puffinford.fronts.channels import codec
-from puffinford.fronts.channels.mux import Refused
+from puffinford.fronts.channels.multiplexer import Refused
 from puffinford.interface import Result
 
 FIGURES_MOST = 64
@@ -19,7 +19,7 @@
 def encode_opening(opening: Opening, wait: float) -> bytes:
     """Id, key, class, tenant, group, wait in milliseconds, then the figures that have no field here."""
     named = {"c", "t", "g", "d"}
-    rest = [(name, value) for name, value in opening.figures if name not in named]
+    rest = [(name, value) for name, value in opening.parameters if name not in named]
     data = codec.string(opening.request_id) + codec.string(opening.key) + codec.string(opening.cls)
     data += codec.string(opening.tenant or "") + codec.string(opening.group or "")
     data += codec.uint32(min(max(1, int(wait)), 0xFFFFFFFF)) + codec.uint32(len(rest))
@@ -29,25 +29,25 @@
 
 
 def decode_opening(extra: bytes) -> Opening:
-    reader = codec.Reader(extra)
+    reader = codec.PayloadReader(extra)
     request_id, key, cls, tenant, group = (reader.text() for _ in range(5))
     wait = reader.uint32()
     count = reader.uint32()
     if count > FIGURES_MOST:
-        raise BadOpening(f"{count} figures")
-    figures: list[tuple[str, str | None]] = [("c", cls)]
-    figures += [(name, value) for name, value in (("t", tenant), ("d", str(wait)), ("g", group)) if value]
+        raise InvalidOpening(f"{count} figures")
+    parameters: list[tuple[str, str | None]] = [("c", cls)]
+    parameters += [(name, value) for name, value in (("t", tenant), ("d", str(wait)), ("g", group)) if value]
     for _ in range(count):
         name, given, value = reader.text(), reader.boolean(), reader.text()
         if name in ("c", "t", "d", "g"):
-            raise BadOpening(f"{name} has a field of its own")
-        figures.append((name, value if given else None))
+            raise InvalidOpening(f"{name} has a field of its own")
+        parameters.append((name, value if given else None))
     if reader.rest():
         raise codec.Malformed("opening too long")
-    texts = [request_id, key, *(name for name, _ in figures), *(value or "" for _, value in figures)]
+    texts = [request_id, key, *(name for name, _ in parameters), *(value or "" for _, value in parameters)]
     if any(_UNSAFE.search(text) for text in texts):
-        raise BadOpening("a value holds a space, a comma or a control character")
-    return Opening.from_figures(request_id, key, tuple(figures))
+        raise InvalidOpening("a value holds a space, a comma or a control character")
+    return Opening.from_parameters(request_id, key, tuple(parameters))
 
 
 def encode_refusal(answer: Busy | Failed) -> tuple[int, str]:
--- a/puffinford/fronts/connecting.py
+++ b/puffinford/fronts/connecting.py
@@ -10,28 +10,28 @@
 import anyio
 
 from puffinford.core.clock import Clock
-from puffinford.core.lacks import LACK_PAUSES, MOMENTARY, OWN_LACK
-from puffinford.fronts.sockets import Budget, OwnLack, Wire, socket_address
+from puffinford.core.transient_errors import LOCAL_SHORTAGE_ERRNOS, RETRY_PAUSES_MS, TRANSIENT_ERRNOS
+from puffinford.fronts.sockets import DescriptorBudget, OwnLack, TcpStream, socket_address
 
 log = logging.getLogger("puffinford.fronts.sockets")  # operators find these lines by `from`
 
-CONNECT_PAUSES = LACK_PAUSES[:3]  # the same for a connect, which another server may take
+CONNECT_PAUSES = RETRY_PAUSES_MS[:3]  # the same for a connect, which another server may take
 
 
-async def connect(address: tuple[str, int], clock: Clock, budget: Budget) -> Wire | None:
+async def connect(address: tuple[str, int], clock: Clock, budget: DescriptorBudget) -> TcpStream | None:
     """A connection, or None where it is refused or unreachable; raises OwnLack.
 
     Guards sound servers, and clients, against what this machine lacks for a moment: it is waited out first.
     """
     made = await _connect_once(address, clock, budget)
     for pause in CONNECT_PAUSES:
-        if isinstance(made, Wire) or made.errno not in MOMENTARY:
+        if isinstance(made, TcpStream) or made.errno not in TRANSIENT_ERRNOS:
             break
         await clock.sleep(pause)
         made = await _connect_once(address, clock, budget)
-    if isinstance(made, Wire):
+    if isinstance(made, TcpStream):
         return made
-    own = made.of_socket or made.errno in OWN_LACK
+    own = made.of_socket or made.errno in LOCAL_SHORTAGE_ERRNOS
     error = errno.errorcode.get(made.errno, str(made.errno))
     told = {"to": "{}:{}".format(*address), "error": error}
     log.log(logging.WARNING if own else logging.INFO, "connect failed", extra=told)
@@ -48,13 +48,15 @@
     of_socket: bool = False
 
 
-async def _connect_once(address: tuple[str, int], clock: Clock, budget: Budget) -> Wire | _Failure:
+async def _connect_once(
+    address: tuple[str, int], clock: Clock, budget: DescriptorBudget
+) -> TcpStream | _Failure:
     family, target = socket_address(*address)
     try:
         sock = socket.socket(family, socket.SOCK_STREAM)
     except OSError as exc:
         return _Failure(exc.errno or errno.EIO, of_socket=True)
-    wire = Wire(sock, clock, budget)
+    stream = TcpStream(sock, clock, budget)
     try:
         error = sock.connect_ex(target)
         if error == errno.EINPROGRESS:
@@ -63,9 +65,9 @@
     except OSError as exc:
         error = exc.errno or errno.EIO
     except BaseException:
-        wire.close()
+        stream.close()
         raise
     if not error:
-        return wire
-    wire.close()
+        return stream
+    stream.close()
     return _Failure(error)
--- a/puffinford/fronts/lines/client.py
+++ b/puffinford/fronts/lines/client.py
@@ -6,15 +6,15 @@
 import logging
 
 from puffinford.core.exchange import Exchange
-from puffinford.core.values import BadOpening, Broken, Ended, Failed
-from puffinford.fronts.accepting import TURNED_FOR, Door
+from puffinford.core.values import ConnectionBroken, Failed, InvalidOpening, PeerClosed
+from puffinford.fronts.accepting import TURNED_FOR, ConnectionTracker
 from puffinford.fronts.lines import codec
-from puffinford.fronts.lines.leg import LineLeg
-from puffinford.fronts.sockets import Wire
-from puffinford.logs import Seldom
+from puffinford.fronts.lines.connection import LineConnection
+from puffinford.fronts.sockets import TcpStream
+from puffinford.logs import RateLimitedLog
 
 # The name of before: operators find these lines by `from`.
-seldom = Seldom(logging.getLogger("puffinford.fronts.lines.submitter"))
+limited_log = RateLimitedLog(logging.getLogger("puffinford.fronts.lines.submitter"))
 
 # A connection that has sent no whole line by then is ended. Bad clients must hear within 3 s, and sound ones
 # may write their line in pieces over 2 s.
@@ -26,74 +26,74 @@
     """The process ends before the client has asked for anything."""
 
 
-class LineClients:
-    def __init__(self, exchange: Exchange, door: Door) -> None:
+class LineClientHandler:
+    def __init__(self, exchange: Exchange, tracker: ConnectionTracker) -> None:
         self._exchange = exchange
-        self._door = door
+        self._tracker = tracker
 
-    async def handle(self, wire: Wire) -> None:
+    async def handle(self, stream: TcpStream) -> None:
         """Serve one connection to its end."""
-        leg = LineLeg(wire)
+        connection = LineConnection(stream)
         line = b""
         try:
             while True:
-                line = await self._first_line(leg)
+                line = await self._first_line(connection)
                 first = codec.decode_first(line)
-                if leg.pending:
+                if connection.pending:
                     # Guards against commands sent at once: a client waits for the answer to each.
                     raise codec.BadLine("more than one line at once")
                 if not isinstance(first, codec.Ping):
-                    await self._exchange.serve(first, leg)
+                    await self._exchange.serve(first, connection)
                     return
-                await wire.write(codec.PONG)
-                await self._rest(leg)
-        except BadOpening as exc:
+                await stream.write(codec.PONG)
+                await self._rest(connection)
+        except InvalidOpening as exc:
             # Guards against whatever else connects: a plain failing answer, and no request.
-            seldom.info("bad first line", error=str(exc), line=repr(line[:80]))
-            with contextlib.suppress(Broken):
-                await leg.answer(Failed(str(exc)))
-                await leg.end()
+            limited_log.info("bad first line", error=str(exc), line=repr(line[:80]))
+            with contextlib.suppress(ConnectionBroken):
+                await connection.answer(Failed(str(exc)))
+                await connection.end()
         except Dismissed:
             # Guards a request that crosses the end of the process: its answer is there before the end.
-            with contextlib.suppress(Broken):
-                await leg.answer(self._exchange.leaving)
-                await leg.end()
-        except (Ended, Broken):
+            with contextlib.suppress(ConnectionBroken):
+                await connection.answer(self._exchange.shutdown_refusal)
+                await connection.end()
+        except (PeerClosed, ConnectionBroken):
             pass
 
-    async def _first_line(self, leg: LineLeg) -> bytes:
+    async def _first_line(self, connection: LineConnection) -> bytes:
         """The next line, all of it within FIRST_LINE; raises BadLine, Dismissed."""
         line = b""
-        with self._door.wait(FIRST_LINE) as heard:
-            line = await leg.read_line(heard)
+        with self._tracker.evictable_wait(FIRST_LINE) as heard:
+            line = await connection.read_line(heard)
         # Guards the line that came in the moment in which its time was up, or its place was needed.
-        line = line or leg.ready_line() or b""
+        line = line or connection.ready_line() or b""
         if not line:
             raise self._no_line()
         return line
 
     def _no_line(self) -> Exception:
         """Why the wait for a line is over."""
-        return Dismissed() if self._door.dismissed else codec.BadLine("no line in time")
+        return Dismissed() if self._tracker.dismissed else codec.BadLine("no line in time")
 
-    async def _rest(self, leg: LineLeg) -> None:
+    async def _rest(self, connection: LineConnection) -> None:
         """Wait for the next line to begin; raises BadLine, Dismissed.
 
         Guards the descriptors against clients that stop in the middle of a line: this long wait ends with its
         first byte.
         """
-        with self._door.wait(PINGS_IDLE) as heard:
-            await leg.begun(heard)
-        if not leg.has_begun():
+        with self._tracker.evictable_wait(PINGS_IDLE) as heard:
+            await connection.begun(heard)
+        if not connection.has_begun():
             raise self._no_line()
 
-    async def turn_away(self, wire: Wire) -> None:
+    async def turn_away(self, stream: TcpStream) -> None:
         """Answer one that finds no place, if its line comes at once; a close would tell it nothing."""
-        leg = LineLeg(wire)
+        connection = LineConnection(stream)
         line = b""
-        with contextlib.suppress(BadOpening, Ended, Broken):
-            with wire.clock.limit(TURNED_FOR):
-                line = await leg.read_line()
+        with contextlib.suppress(InvalidOpening, PeerClosed, ConnectionBroken):
+            with stream.clock.limit(TURNED_FOR):
+                line = await connection.read_line()
             first = codec.decode_first(line)
             if not isinstance(first, codec.Ping):
-                await self._exchange.serve(first, leg, room=False)
+                await self._exchange.serve(first, connection, has_capacity=False)
--- a/puffinford/fronts/lines/codec.py
+++ b/puffinford/fronts/lines/codec.py
@@ -6,7 +6,16 @@
 import re
 from dataclasses import dataclass
 
-from puffinford.core.values import BadOpening, Busy, Failed, Kind, Message, Opening, Up, number
+from puffinford.core.values import (
+    Busy,
+    Failed,
+    InvalidOpening,
+    Message,
+    MessageKind,
+    Opening,
+    Up,
+    parse_number,
+)
 from puffinford.fronts.sockets import LINE_MOST
 from puffinford.interface import Result
 
@@ -18,7 +27,7 @@
 MOVE = b"MOVE" + END
 
 
-class BadLine(BadOpening):
+class BadLine(InvalidOpening):
     """A line in no known form; the text says what is wrong."""
 
 
@@ -46,17 +55,17 @@
         raise BadLine("not OPEN ID KEY LIST")
     if _CONTROL.search(text):
         raise BadLine("control characters")
-    figures = []
+    parameters = []
     for piece in parts[3].split(","):
         name, sign, value = piece.partition("=")
-        figures.append((name, value if sign else None))
-    return Opening.from_figures(parts[1], parts[2], tuple(figures))
+        parameters.append((name, value if sign else None))
+    return Opening.from_parameters(parts[1], parts[2], tuple(parameters))
 
 
 def encode_opening(opening: Opening, wait: float) -> bytes:
     """The line as it came, but for `d`."""
     left = str(max(1, int(wait)))  # never longer than it is
-    pieces = [n if v is None else f"{n}={left if n == 'd' else v}" for n, v in opening.figures]
+    pieces = [n if v is None else f"{n}={left if n == 'd' else v}" for n, v in opening.parameters]
     return f"OPEN {opening.request_id} {opening.key} {','.join(pieces)}".encode("latin-1") + END
 
 
@@ -97,21 +106,21 @@
     """A line on a standing connection."""
     word, _, rest = line.rstrip(b"\r\n").partition(b" ")
     if word == b"BYE":
-        return Message(line, Kind.BYE, report=rest.decode("latin-1"))
+        return Message(line, MessageKind.BYE, report=rest.decode("latin-1"))
     if word == b"MOVE":
-        return Message(line, Kind.MOVE)
+        return Message(line, MessageKind.MOVE)
     if word == b"LOAD":
-        note = number(rest.decode("latin-1"))
+        note = parse_number(rest.decode("latin-1"))
         if note is not None:
-            return Message(line, Kind.NOTE, note)
+            return Message(line, MessageKind.NOTE, note)
     return Message(line)
 
 
-_LINES = {Kind.BYE: b"BYE" + END, Kind.MOVE: MOVE}
+_LINES = {MessageKind.BYE: b"BYE" + END, MessageKind.MOVE: MOVE}
 
 
 def encode_message(message: Message) -> bytes:
     """The line as it came; where it came by other means, the line for its kind."""
-    if message.data or message.kind is Kind.DATA:
+    if message.data or message.kind is MessageKind.DATA:
         return message.data
     return _LINES.get(message.kind) or f"LOAD {message.note:g}".encode() + END
--- a/puffinford/fronts/lines/leg.py
+++ b/puffinford/fronts/lines/connection.py
@@ -6,14 +6,14 @@
 
 from anyio.lowlevel import checkpoint
 
-from puffinford.core.values import Busy, Ended, Failed, Message, Up
+from puffinford.core.values import Busy, Failed, Message, PeerClosed, Up
 from puffinford.fronts.lines import codec
-from puffinford.fronts.sockets import LINES_TURN, LineReader, Wire
+from puffinford.fronts.sockets import LINES_TURN, LineReader, TcpStream
 
 
-class LineLeg:
-    def __init__(self, wire: Wire) -> None:
-        self._wire = wire
+class LineConnection:
+    def __init__(self, stream: TcpStream) -> None:
+        self._stream = stream
         self._reader = LineReader()
         self._taken = 0
 
@@ -29,10 +29,10 @@
         """
         while (line := self._reader.next()) is None:
             try:
-                self._reader.feed(await self._wire.read())
+                self._reader.feed(await self._stream.read())
                 if heard is not None:
                     heard()
-            except Ended:
+            except PeerClosed:
                 rest = self._reader.rest()
                 if not rest:
                     raise
@@ -46,41 +46,41 @@
     async def begun(self, heard: Callable[[], None]) -> None:
         """Wait until the next line has begun; `heard` is called when it has."""
         if not self._reader.pending:
-            self._reader.feed(await self._wire.read())
+            self._reader.feed(await self._stream.read())
             heard()
 
     def has_begun(self) -> bool:
         """Whether any of the next line has arrived, though nobody may have read it yet."""
         if not self._reader.pending:
-            self._reader.feed(self._wire.read_ready())
+            self._reader.feed(self._stream.read_ready())
         return self._reader.pending
 
     def ready_line(self) -> bytes | None:
         """A line that has arrived whole though nobody has read it yet."""
-        self._reader.feed(self._wire.read_ready())
+        self._reader.feed(self._stream.read_ready())
         return self._reader.next()
 
-    async def left(self) -> bool:
-        return await self._wire.ended()
+    async def has_left(self) -> bool:
+        return await self._stream.ended()
 
     async def receive(self) -> Message:
         return codec.decode_message(await self.read_line())
 
     async def send(self, message: Message) -> None:
-        await self._wire.write(codec.encode_message(message))
+        await self._stream.write(codec.encode_message(message))
 
     async def answer(self, answer: Up | Busy | Failed) -> None:
         data = codec.encode_answer(answer)
-        await (self._wire.write(data) if isinstance(answer, Up) else self._wire.finish(data))
+        await (self._stream.write(data) if isinstance(answer, Up) else self._stream.finish(data))
 
     async def move(self) -> None:
-        await self._wire.write(codec.MOVE)
+        await self._stream.write(codec.MOVE)
 
     async def end_sending(self) -> None:
-        await self._wire.end_sending()
+        await self._stream.end_sending()
 
     async def end(self) -> None:
-        await self._wire.end()
+        await self._stream.end()
 
     async def abort(self) -> None:
-        self._wire.abort()
+        self._stream.abort()
--- a/puffinford/fronts/lines/server.py
+++ b/puffinford/fronts/lines/server.py
@@ -5,43 +5,43 @@
 from collections.abc import Awaitable, Callable
 
 from puffinford.core.clock import Clock
-from puffinford.core.values import AttemptEnded, Broken, Ended, Machine, Opening, Up
+from puffinford.core.values import AttemptEnded, ConnectionBroken, Opening, PeerClosed, ServerEntry, Up
 from puffinford.fronts.connecting import connect
 from puffinford.fronts.lines import codec
-from puffinford.fronts.lines.leg import LineLeg
-from puffinford.fronts.sockets import Budget, OwnLack, Wire
+from puffinford.fronts.lines.connection import LineConnection
+from puffinford.fronts.sockets import DescriptorBudget, OwnLack, TcpStream
 from puffinford.interface import Result
 
 
-class LineServers:
-    def __init__(self, clock: Clock, budget: Budget, connect_timeout: float) -> None:
+class LineServerConnector:
+    def __init__(self, clock: Clock, budget: DescriptorBudget, connect_timeout: float) -> None:
         self._clock = clock
         self._budget = budget
         self.connect_timeout = connect_timeout
 
-    async def _connect(self, machine: Machine, wait: float) -> Wire:
-        wire = None
+    async def _connect(self, entry: ServerEntry, wait: float) -> TcpStream:
+        stream = None
         try:
             with self._clock.limit(min(wait, self.connect_timeout)):
-                wire = await connect((machine.host, machine.port), self._clock, self._budget)
+                stream = await connect((entry.host, entry.port), self._clock, self._budget)
         except OwnLack:
             # Guards a sound server against being taken for unreachable when we lack descriptors.
-            raise AttemptEnded(Result.MOOT) from None
-        if wire is None:
+            raise AttemptEnded(Result.NOT_SENT) from None
+        if stream is None:
             raise AttemptEnded(Result.CONNECT_FAILED)
-        return wire
+        return stream
 
-    async def claim(
+    async def open_connection(
         self,
-        machine: Machine,
+        entry: ServerEntry,
         opening: Opening,
         wait: float,
         admit: Callable[[], Awaitable[None]],
         sent: Callable[[], None],
-    ) -> tuple[LineLeg, Up]:
+    ) -> tuple[LineConnection, Up]:
         started = self._clock.now()
-        wire = await self._connect(machine, wait)
-        leg = LineLeg(wire)
+        stream = await self._connect(entry, wait)
+        connection = LineConnection(stream)
         answer: Up | Result = Result.TIMEOUT
         line, report = b"", ""
         standing = False
@@ -51,38 +51,38 @@
             if left <= 0:
                 raise AttemptEnded(Result.CONNECT_FAILED)
             try:
-                await wire.write(codec.encode_opening(opening, left))
-            except Broken:
+                await stream.write(codec.encode_opening(opening, left))
+            except ConnectionBroken:
                 raise AttemptEnded(Result.CONNECT_FAILED) from None
             sent()
             with self._clock.limit(left):
                 try:
-                    line = await leg.read_line()
+                    line = await connection.read_line()
                     answer, report = codec.decode_answer(line)
-                except (Ended, Broken):
+                except (PeerClosed, ConnectionBroken):
                     answer = Result.RESET
             if isinstance(answer, Up):
                 standing = True
-                return leg, answer
+                return connection, answer
             messages = (codec.decode_message(line),) if answer is Result.OK else ()
             raise AttemptEnded(answer, messages, report)
         finally:
             # Guards against a second attempt beside one given up: its connection is closed first.
             if not standing:
-                wire.close()
+                stream.close()
 
-    async def probe(self, machine: Machine, wait: float, load: bool) -> tuple[Result, str]:
+    async def probe(self, entry: ServerEntry, wait: float, load: bool) -> tuple[Result, str]:
         try:
-            wire = await self._connect(machine, wait)
+            stream = await self._connect(entry, wait)
         except AttemptEnded as exc:
             return exc.result, ""
         result, report = Result.TIMEOUT, ""
         try:
             with self._clock.limit(wait):
-                await wire.write((codec.STATS if load else codec.PING).encode() + codec.END)
-                result, report = codec.decode_probe(await LineLeg(wire).read_line())
-        except (Ended, Broken):
+                await stream.write((codec.STATS if load else codec.PING).encode() + codec.END)
+                result, report = codec.decode_probe(await LineConnection(stream).read_line())
+        except (PeerClosed, ConnectionBroken):
             result = Result.RESET
         finally:
-            wire.close()
+            stream.close()
         return result, report
