--- a/puffinford/fronts/sockets.py
+++ b/puffinford/fronts/sockets.py
@@ -2,7 +2,8 @@
 
 Each bound stands here once. Bytes: a connection is read in pieces of READ_MOST, never ahead of what takes
 them. Unread input: an ended connection is read on for at most LINGER and LINGER_BYTES, and at most one of
-LINGER_PART of the descriptors is in that state. Descriptors: `Budget`. Silent ones: see `accepting`.
+LINGER_PART of the descriptors is in that state. Descriptors: `DescriptorBudget`. Silent ones: see
+`accepting`.
 """
 
 from __future__ import annotations
@@ -22,8 +23,8 @@
 from anyio.lowlevel import checkpoint
 
 from puffinford.core.clock import Clock
-from puffinford.core.lacks import LACK_PAUSES, MOMENTARY
-from puffinford.core.values import Broken, Ended
+from puffinford.core.transient_errors import RETRY_PAUSES_MS, TRANSIENT_ERRNOS
+from puffinford.core.values import ConnectionBroken, PeerClosed
 
 LINE_MOST = 4096  # bytes of a line, its end included
 LINES_TURN = 32  # lines of one connection passed on before others have their turn
@@ -36,9 +37,11 @@
 LAST_MOST = 500.0  # for a peer to take the last piece of a connection ...
 LAST_LEAST = 20.0  # ... and the least, however little is left before the process closes it
 CATCH_UP = 4  # turns of the loop in which what has arrived is read, before a peer counts as still there
-RESERVE = 32  # descriptors for discovery, the listeners, the program's own files and a turn of accepting
-MGMT_MOST = 16  # descriptors that callers of the second address may hold; no client ever gets them
-MGMT_TURN = 4  # of its callers accepted at a time, and held beyond those while the quietest go
+RESERVED_DESCRIPTORS = (
+    32  # descriptors for discovery, the listeners, the program's own files and a turn of accepting
+)
+MAX_MGMT_DESCRIPTORS = 16  # descriptors that callers of the second address may hold; no client ever gets them
+MGMT_ACCEPTS_PER_TURN = 4  # of its callers accepted at a time, and held beyond those while the quietest go
 
 
 class OwnLack(Exception):
@@ -49,7 +52,7 @@
         self.errno = error
 
 
-def descriptors_allowed(told: int) -> int:
+def raise_descriptor_limit(told: int) -> int:
     """How many descriptors this process may hold: as told, or fewer where the system gives fewer.
 
     Guards all that is kept for other things than clients against a limit that no budget knows of.
@@ -63,30 +66,30 @@
     return told if soft == resource.RLIM_INFINITY else min(told, soft)
 
 
-class Budget:
+class DescriptorBudget:
     """A count of the sockets that are open, against a limit of which a part is kept for other things."""
 
-    def __init__(self, limit: int = 1024, reserve: int = RESERVE) -> None:
+    def __init__(self, limit: int = 1024, reserve: int = RESERVED_DESCRIPTORS) -> None:
         self.limit = limit
         self.reserve = reserve
         self.used = 0
         self._lingering: dict[anyio.CancelScope, None] = {}  # the one that has been at it longest first
         self.close_at = float("inf")  # on the clock, in ms: no connection is waited for any longer
-        self.elsewhere: Callable[[], int] = int  # descriptors of another version, under the same limit
-        self.changed: Callable[[], object] = int  # hears of each socket made or closed
+        self.used_elsewhere: Callable[[], int] = int  # descriptors of another version, under the same limit
+        self.on_change: Callable[[], object] = int  # hears of each socket made or closed
 
     def take(self) -> None:
         self.used += 1
-        self.changed()
+        self.on_change()
 
     def give(self) -> None:
         self.used -= 1
-        self.changed()
+        self.on_change()
 
     @property
     def full(self) -> bool:
         """Whether one more client and its server would not fit."""
-        return self.used + self.elsewhere() + 2 > self.limit - self.reserve
+        return self.used + self.used_elsewhere() + 2 > self.limit - self.reserve
 
     @contextmanager
     def linger(self, scope: anyio.CancelScope) -> Iterator[None]:
@@ -121,10 +124,10 @@
         return len(cut)
 
 
-class Wire:
+class TcpStream:
     """A TCP connection: chunks in, whole pieces out, and the ways to end it."""
 
-    def __init__(self, sock: socket.socket, clock: Clock, budget: Budget) -> None:
+    def __init__(self, sock: socket.socket, clock: Clock, budget: DescriptorBudget) -> None:
         sock.setblocking(False)
         with contextlib.suppress(OSError):  # without it small pieces are late, and no more
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -152,9 +155,9 @@
                 else:
                     break
         except (OSError, ValueError, anyio.ClosedResourceError) as exc:
-            raise Broken(str(exc)) from None
+            raise ConnectionBroken(str(exc)) from None
         if not data:
-            raise Ended
+            raise PeerClosed
         return data
 
     async def _wait_out(self, failure: OSError, lacks: int) -> int:
@@ -162,9 +165,9 @@
 
         Tells how many there are now. Raises the failure itself where it is none, or has lasted.
         """
-        if failure.errno not in MOMENTARY or lacks >= len(LACK_PAUSES):
+        if failure.errno not in TRANSIENT_ERRNOS or lacks >= len(RETRY_PAUSES_MS):
             raise failure
-        await self.clock.sleep(LACK_PAUSES[lacks])
+        await self.clock.sleep(RETRY_PAUSES_MS[lacks])
         return lacks + 1
 
     def read_ready(self) -> bytes:
@@ -187,7 +190,7 @@
             except BlockingIOError:
                 return False
             except OSError as exc:
-                return exc.errno not in MOMENTARY
+                return exc.errno not in TRANSIENT_ERRNOS
             except ValueError:
                 return True
             await checkpoint()
@@ -214,13 +217,13 @@
                 finally:
                     self._cut = bytes(rest)
         except (OSError, ValueError, anyio.ClosedResourceError) as exc:
-            raise Broken(str(exc)) from None
+            raise ConnectionBroken(str(exc)) from None
 
     async def end_sending(self) -> None:
         try:
             self._sock.shutdown(socket.SHUT_WR)
         except OSError as exc:
-            raise Broken(str(exc)) from None
+            raise ConnectionBroken(str(exc)) from None
 
     async def end(self) -> None:
         """Lingering close: FIN, read on for a moment until the peer's, close.
@@ -230,7 +233,7 @@
         """
         self.ending = True
         try:
-            held = contextlib.suppress(Ended, Broken)
+            held = contextlib.suppress(PeerClosed, ConnectionBroken)
             patience = self._budget.patience(LINGER, self.clock.now())
             with self.clock.limit(patience) as scope, self._budget.linger(scope), held:
                 await self.end_sending()
@@ -248,7 +251,7 @@
             await self.write(data)
             taken = True
         if not taken:
-            raise Broken("the last piece was not taken")
+            raise ConnectionBroken("the last piece was not taken")
 
     def close(self) -> None:
         if not self._closed:
--- a/puffinford/hashing.py
+++ b/puffinford/hashing.py
@@ -30,6 +30,6 @@
     return [one ^ (one >> 32) for one in both]
 
 
-def mixed(number: int) -> float:
+def hash_fraction(number: int) -> float:
     """A number from 0 to below 1, spread as evenly."""
     return scrambled(number) / 2.0**64
--- a/puffinford/interface.py
+++ b/puffinford/interface.py
@@ -40,7 +40,7 @@
     UNAVAILABLE = "unavailable"  # a list call failed or the subscription broke
 
 
-class Why(Enum):
+class FailureReason(Enum):
     """Why the module gave a request up; said with its final answer."""
 
     ATTEMPTS = "attempts spent"
@@ -61,7 +61,7 @@
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_SENT = "moot"
 
 
 TIME_MOST = 1e10  # ms; no site tells a longer time, and sums of longer ones are not exact
@@ -199,7 +199,7 @@
 
 
 @dataclass(slots=True)
-class Unproven:
+class UnverifiedServers:
     """Entries of a restored list that have to prove themselves, until a claim stands there or discovery
     speaks.
 
@@ -217,20 +217,20 @@
     """What is known of one server besides its place in the list. Times are the host's, in ms."""
 
     server: str
-    told_at: float  # when it was so: a server that has started since is another
+    observed_at: float  # when it was so: a server that has started since is another
     failures: int = 0  # failed trials on end; 0: reachable
     retry_at: float = 0.0  # when the next trial is due
-    away_at: float | None = None  # since when it has taken no connection
+    unreachable_since: float | None = None  # since when it has taken no connection
     slow_until: float = 0.0  # passed over for slow messages
-    late_at: float = 0.0  # its messages were last too late; 0: never
+    late_report_at: float = 0.0  # its messages were last too late; 0: never
     delay: float = 0.0  # what a message took there then, in ms
-    room: float | None = None  # own load that it can carry, in mean connections ...
-    room_at: float = 0.0  # ... as late messages showed then
-    cold_from: float | None = None  # it started then, and may still be cold
+    capacity_estimate: float | None = None  # own load that it can carry, in mean connections ...
+    capacity_estimated_at: float = 0.0  # ... as late messages showed then
+    cold_since: float | None = None  # it started then, and may still be cold
 
 
 @dataclass(slots=True)
-class Learned:
+class LearnedHealth:
     """What another process of this balancer has learned. It never outweighs what this one has seen."""
 
     entries: list[Health] = field(default_factory=list)
@@ -249,7 +249,7 @@
 
 
 @dataclass(slots=True)
-class Favour:
+class PreferServers:
     """Servers to which clients that come back are sent first, until the next such event; none ends it.
 
     A client that another balancer moved has its place kept there, and may come here: it finds these instead.
@@ -291,7 +291,7 @@
 
 
 @dataclass(slots=True)
-class LoadNote:
+class LoadUpdate:
     """The load of an open connection has changed, in microseconds of work a second."""
 
     id: str
@@ -300,7 +300,7 @@
 
 
 @dataclass(slots=True)
-class DelayNote:
+class DelayUpdate:
     """How long a message on this server takes now."""
 
     id: str
@@ -348,15 +348,15 @@
 Event = (
     ServerList
     | Cordoned
-    | Unproven
-    | Learned
+    | UnverifiedServers
+    | LearnedHealth
     | Relocate
-    | Favour
+    | PreferServers
     | Request
     | Inherited
     | Established
-    | LoadNote
-    | DelayNote
+    | LoadUpdate
+    | DelayUpdate
     | Outcome
     | ClientLeft
     | Timer
@@ -368,19 +368,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Survey:
+class ServerSnapshot:
     """One server as the module sees it; loads are own ones, in mean connections."""
 
     server: str
     load: float  # with what groups cost
     capacity: float  # by size and warmth; 0 where it takes nothing new
     usable: bool  # reachable, not slow, and with room: a place to move to
-    strained: bool  # its messages are late, or it is unreachable
-    flows: int
+    degraded: bool  # its messages are late, or it is unreachable
+    connection_count: int
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class EstablishedConnection:
     """One standing connection as the module sees it."""
 
     id: str
@@ -388,9 +388,9 @@
     cls: str
     load: float
     group: int | None
-    placed: float  # when, in ms of the host's time
+    placed_at: float  # when, in ms of the host's time
     came_back: bool  # its client had been moved or cut off before
-    members: int  # own connections of its group at that server, itself among them; 0 without a group
+    group_size: int  # own connections of its group at that server, itself among them; 0 without a group
 
 
 # Actions
@@ -422,7 +422,7 @@
 
     id: str
     retry_after: float = 0.0
-    why: Why = Why.NO_SERVER
+    reason: FailureReason = FailureReason.NO_SERVER
 
 
 @dataclass(slots=True)
@@ -430,7 +430,7 @@
     """Final answer: failed, nothing promised about its effect."""
 
     id: str
-    why: Why = Why.NO_SERVER
+    reason: FailureReason = FailureReason.NO_SERVER
 
 
 @dataclass(slots=True)
--- a/puffinford/listening.py
+++ b/puffinford/listening.py
@@ -12,7 +12,15 @@
 
 from puffinford.config import Config
 from puffinford.core.clock import Clock
-from puffinford.fronts.accepting import ACCEPT_TURN, Door, Handler, accept_all, bind, inherited, local_address
+from puffinford.fronts.accepting import (
+    MAX_ACCEPTS_PER_TURN,
+    ConnectionTracker,
+    Handler,
+    accept_connections,
+    bind,
+    inherited_listener,
+    local_address,
+)
 
 log = logging.getLogger("puffinford.serve")  # operators find these lines by `from`
 
@@ -27,8 +35,8 @@
 
     name: str
     handle: Handler
-    door: Door
-    turn: int = ACCEPT_TURN
+    tracker: ConnectionTracker
+    turn: int = MAX_ACCEPTS_PER_TURN
     turn_away: Handler | None = None  # answers those who find no place
     address: tuple[str, int] | None = None
     scope: anyio.CancelScope | None = None  # ends the listening; what was accepted stays
@@ -127,8 +135,8 @@
     def _bind_one(self, front: Front, address: tuple[str, int]) -> socket.socket:
         if self._from_platform(front, address):
             assert self._socket_fd is not None
-            return inherited(self._socket_fd)
-        return bind(address, beside=front is self.channels and self._socket_fd is not None)
+            return inherited_listener(self._socket_fd)
+        return bind(address, share_port=front is self.channels and self._socket_fd is not None)
 
     async def _accept(
         self,
@@ -143,8 +151,8 @@
             while not (self._may_accept() or scope.cancel_called):
                 await self._clock.sleep(MAY_ACCEPT_LOOK)
         front.listeners += 1
-        given = (listener, front.handle, front.door, connections, scope, front.turn, shared)
+        given = (listener, front.handle, front.tracker, connections, scope, front.turn, shared)
         try:
-            await accept_all(*given, front.turn_away)
+            await accept_connections(*given, front.turn_away)
         finally:
             front.listeners -= 1
--- a/puffinford/logs.py
+++ b/puffinford/logs.py
@@ -38,13 +38,13 @@
     logging.basicConfig(level=level, handlers=[handler], force=True)
 
 
-class Seldom:
+class RateLimitedLog:
     """Logs what peers can cause at will: each event at most so often, with the count of those left out.
 
     Guards the log, and the time that it costs, against peers that do the same thing without end.
     """
 
-    MOST = 10  # records of an event in a second
+    MAX_RECORDS_PER_S = 10  # records of an event in a second
 
     def __init__(self, log: logging.Logger, now: Callable[[], float] = time.monotonic) -> None:
         self._log = log
@@ -60,10 +60,10 @@
     def _write(self, level: int, event: str, fields: dict[str, object]) -> None:
         second = int(self._now())
         last, count = self._seen.get(event, (second, 0))
-        if last == second and count >= self.MOST:
+        if last == second and count >= self.MAX_RECORDS_PER_S:
             self._seen[event] = (last, count + 1)
             return
-        skipped = count - self.MOST if last != second else 0
+        skipped = count - self.MAX_RECORDS_PER_S if last != second else 0
         if skipped > 0:
             fields["skipped"] = skipped
         self._seen[event] = (second, 1 if last != second else count + 1)
--- a/puffinford/management/calls.py
+++ b/puffinford/management/admin_api.py
@@ -12,14 +12,14 @@
 log = logging.getLogger(__name__)
 
 
-Extra = Callable[[Call], Reply]
+AdminHandler = Callable[[Call], Reply]
 
 
 def _wrong_method(method: str) -> Reply:
     return Reply(405, f"{method} is the method here", allow=method)
 
 
-class Calls:
+class AdminApi:
     """`lacking` names what this process still lacks to serve; it is empty once nothing does.
 
     `extras` answer what stands under a name of their own, /admin/NAME.
@@ -30,7 +30,7 @@
         exchange: Exchange,
         cordons: Cordons,
         lacking: Callable[[], str],
-        extras: Mapping[str, Extra] | None = None,
+        extras: Mapping[str, AdminHandler] | None = None,
     ) -> None:
         self._extras = extras or {}
         self._exchange = exchange
@@ -58,8 +58,8 @@
         return Reply(503, f"not ready: {lack}") if lack else Reply(200, "ready")
 
     async def _cordon(self, ident: str, out: bool) -> Reply:
-        if not self._exchange.names(ident):
-            if not self._exchange.informed:
+        if not self._exchange.is_known_id(ident):
+            if not self._exchange.has_server_list:
                 return Reply(503, "no machine list yet")
             return Reply(404, "no server has that id")
         try:
@@ -72,7 +72,7 @@
     def _stats(self) -> Reply:
         lines = [
             f"app.requests.{cls}.{count.value}:{number}|c"
-            for cls, count, number in self._exchange.figures.counts()
+            for cls, count, number in self._exchange.counters.counts()
         ]
         lines += [f"app.{name}:{number}|g" for name, number in self._exchange.gauges().items()]
         return Reply(200, "\n".join(lines))
--- a/puffinford/management/cordons.py
+++ b/puffinford/management/cordons.py
@@ -35,11 +35,11 @@
         self._apply = apply
         self._mark: _Mark | None = None
         self.out: frozenset[str] = frozenset()
-        self.in_force = True  # what the file says is what holds here
+        self.in_sync = True  # what the file says is what holds here
         self._said = ""  # why it could not be used, as the log has it
         self._one = anyio.Lock()  # one change at a time
 
-    def look(self) -> None:
+    def refresh(self) -> None:
         """Take in what another version has changed.
 
         Guards a cordon against a read that fails for a moment: it is made again at each look.
@@ -47,7 +47,7 @@
         mark = None
         with contextlib.suppress(OSError):
             mark = self._stat()
-        if mark == self._mark and self.in_force:
+        if mark == self._mark and self.in_sync:
             return
         try:
             self._hold(self._read())
@@ -110,13 +110,13 @@
 
     def _say(self, error: str) -> None:
         """The file cannot be used: one line for each cause."""
-        self.in_force = False
+        self.in_sync = False
         if error != self._said:
             self._said = error
             log.error("cordons unreadable", extra={"error": error})
 
     def _in_force_again(self) -> None:
-        self.in_force = True
+        self.in_sync = True
         self._said = ""
 
     def _hold(self, out: frozenset[str]) -> None:
--- a/puffinford/management/http.py
+++ b/puffinford/management/http.py
@@ -10,9 +10,9 @@
 
 import h11
 
-from puffinford.core.values import Broken, Ended
-from puffinford.fronts.accepting import Door
-from puffinford.fronts.sockets import Wire
+from puffinford.core.values import ConnectionBroken, PeerClosed
+from puffinford.fronts.accepting import ConnectionTracker
+from puffinford.fronts.sockets import TcpStream
 
 log = logging.getLogger(__name__)
 
@@ -34,46 +34,49 @@
     allow: str = ""  # the method that the path takes, with a 405
 
 
-class HttpCalls:
+class HttpCallHandler:
     """Reads calls and writes what `answer` says to them. Callers that stall hold a place at the door only."""
 
-    def __init__(self, answer: Callable[[Call], Awaitable[Reply]], door: Door) -> None:
+    def __init__(self, answer: Callable[[Call], Awaitable[Reply]], tracker: ConnectionTracker) -> None:
         self._answer = answer
-        self._door = door
+        self._tracker = tracker
 
-    async def handle(self, wire: Wire) -> None:
+    async def handle(self, stream: TcpStream) -> None:
         connection = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_MOST)
-        with self._door.wait(CALL_MOST) as heard, contextlib.suppress(Ended, Broken):
+        with (
+            self._tracker.evictable_wait(CALL_MOST) as heard,
+            contextlib.suppress(PeerClosed, ConnectionBroken),
+        ):
             method = ""
             try:
-                call = await self._read(wire, connection, heard)
+                call = await self._read(stream, connection, heard)
                 method = call.method
                 reply = await self._answer(call)
             except h11.RemoteProtocolError as exc:
                 reply = Reply(400, f"cannot be read: {exc}")
-            except (Ended, Broken):
+            except (PeerClosed, ConnectionBroken):
                 raise
             except Exception:
                 # Guards the caller against silence where a fault is ours.
                 log.exception("call failed")
                 reply = Reply(500, "a fault in the balancer; its log says more")
-            await wire.write(_encode(connection, reply, with_body=method != "HEAD"))
-            await wire.end()
+            await stream.write(_encode(connection, reply, with_body=method != "HEAD"))
+            await stream.end()
 
-    async def _read(self, wire: Wire, connection: h11.Connection, heard: Callable[[], None]) -> Call:
+    async def _read(self, stream: TcpStream, connection: h11.Connection, heard: Callable[[], None]) -> Call:
         """The whole call; raises RemoteProtocolError, Ended or Broken."""
         call: Call | None = None
         body = 0
         while True:
             event = connection.next_event()
             if event is h11.NEED_DATA:
-                connection.receive_data(await wire.read())
+                connection.receive_data(await stream.read())
                 heard()
             elif isinstance(event, h11.Request):
                 call = _call(event)
                 if connection.they_are_waiting_for_100_continue:
                     go_on = h11.InformationalResponse(status_code=100, headers=[])
-                    await wire.write(connection.send(go_on) or b"")
+                    await stream.write(connection.send(go_on) or b"")
             elif isinstance(event, h11.Data):
                 body += len(event.data)
                 if body > BODY_MOST:
@@ -81,7 +84,7 @@
             elif isinstance(event, h11.EndOfMessage) and call is not None:
                 return call
             else:
-                raise Ended
+                raise PeerClosed
 
 
 def _call(request: h11.Request) -> Call:
--- a/puffinford/management/versions.py
+++ b/puffinford/management/versions.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 
 PLACES = 4  # processes that may live at a time; two is usual
-OWN_FILES = 16  # descriptors of a process besides its counted sockets
+OWN_DESCRIPTORS = 16  # descriptors of a process besides its counted sockets
 _RECORD = struct.Struct("=III")  # its number in the line of versions, ready, descriptors held
 _READY_AT, _HELD_AT = 4, 8
 
@@ -41,7 +41,7 @@
         return number, ready, held
 
 
-class Versions:
+class VersionRegistry:
     """This process among those of its balancer. `path` None: there is no other, ever."""
 
     def __init__(self, path: Path | None) -> None:
@@ -57,7 +57,7 @@
         if self._path is None:
             return
         with locked(self._path.with_name(self._path.name + ".lock")):
-            self.look()
+            self.refresh()
             self._number = 1 + max((other.read()[0] for other in self._others.values()), default=0)
             for place in range(PLACES):
                 if place not in self._others and self._take(place):
@@ -77,11 +77,11 @@
             return False
         os.ftruncate(file, _RECORD.size)
         self._view = mmap.mmap(file, _RECORD.size)
-        _RECORD.pack_into(self._view, 0, self._number, 0, OWN_FILES)
+        _RECORD.pack_into(self._view, 0, self._number, 0, OWN_DESCRIPTORS)
         self._place, self._file = place, file
         return True
 
-    def look(self) -> None:
+    def refresh(self) -> None:
         """See who lives. Guards against the file of a killed process: its lock went with it."""
         if self._path is None:
             return
@@ -111,34 +111,34 @@
 
     # What this one tells
 
-    def tell_ready(self, ready: bool) -> None:
+    def publish_ready(self, ready: bool) -> None:
         if self._view is not None:
             struct.pack_into("=I", self._view, _READY_AT, ready)
 
-    def tell_held(self, sockets: int) -> None:
+    def publish_sockets(self, sockets: int) -> None:
         if self._view is not None:
-            struct.pack_into("=I", self._view, _HELD_AT, sockets + OWN_FILES)
+            struct.pack_into("=I", self._view, _HELD_AT, sockets + OWN_DESCRIPTORS)
 
     # What it knows of the others
 
     @property
-    def held_elsewhere(self) -> int:
+    def descriptors_elsewhere(self) -> int:
         """The descriptors of the others, which count against the same limit."""
         return sum(other.read()[2] for other in self._others.values()) if self._others else 0
 
     @property
-    def succeeded(self) -> bool:
+    def has_ready_successor(self) -> bool:
         """Whether a later version is ready."""
         return any(
             number > self._number and ready for number, ready, _ in map(_Other.read, self._others.values())
         )
 
     @property
-    def followed(self) -> bool:
+    def has_successor(self) -> bool:
         """Whether a later version lives, ready or not."""
         return any(other.read()[0] > self._number for other in self._others.values())
 
     @property
-    def succeeding(self) -> bool:
+    def has_predecessor(self) -> bool:
         """Whether an earlier version lives."""
         return any(other.read()[0] < self._number for other in self._others.values())
--- a/puffinford/operators/__init__.py
+++ b/puffinford/operators/__init__.py
@@ -1,7 +1,7 @@
 """The operators' file: one setting a line, in sections, checked into typed values."""
 
 from puffinford.operators.lines import BadSettings
-from puffinford.operators.loading import DEFAULT_FILE, Loaded, load_settings
+from puffinford.operators.loading import DEFAULT_FILE, LoadedSettings, load_settings
 from puffinford.operators.schema import (
     ChannelSettings,
     DiscoverySettings,
@@ -16,7 +16,7 @@
     "BadSettings",
     "ChannelSettings",
     "DiscoverySettings",
-    "Loaded",
+    "LoadedSettings",
     "OperatorSettings",
     "RebalanceSettings",
     "RelaySettings",
--- a/puffinford/operators/loading.py
+++ b/puffinford/operators/loading.py
@@ -11,7 +11,7 @@
 from puffinford.operators.lines import BadSettings, Place, Reader, Word
 from puffinford.operators.schema import (
     LIST_AGE_MOST,
-    RELAY_LATE,
+    RELAY_ANSWER_GRACE_MS,
     SECTIONS,
     OperatorSettings,
     RelaySettings,
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Loaded:
+class LoadedSettings:
     """What is in force; `origins` holds the place of each value that a file sets, by section and keyword."""
 
     settings: OperatorSettings = field(default_factory=OperatorSettings)
@@ -99,10 +99,10 @@
         self.origins[section, first.text] = first.place
 
 
-def load_settings(path: Path = DEFAULT_FILE) -> Loaded:
+def load_settings(path: Path = DEFAULT_FILE) -> LoadedSettings:
     """Read and check a file whole; raises BadSettings with every error. The default file may be missing."""
     if path == DEFAULT_FILE and not path.exists():
-        return Loaded()
+        return LoadedSettings()
     reader = Reader()
     checker = _Checker(reader.errors)
     for words in reader.read(path):
@@ -112,7 +112,7 @@
     if reader.errors:
         raise BadSettings(reader.errors)
     made = {name: kind(**checker.values[name]) for name, kind in SECTIONS.items()}
-    return Loaded(OperatorSettings(**made), checker.origins, tuple(reader.files))
+    return LoadedSettings(OperatorSettings(**made), checker.origins, tuple(reader.files))
 
 
 def _check_together(checker: _Checker) -> None:
@@ -140,9 +140,9 @@
         checker.errors.append(
             f"{place}: the ages add: max-age and upstream-age, {told}, must not pass {show(LIST_AGE_MOST)}"
         )
-    if relay.max_age < 2 * relay.wait + RELAY_LATE:
+    if relay.max_age < 2 * relay.wait + RELAY_ANSWER_GRACE_MS:
         place = checker.origins.get(("relay", "max-age")) or checker.origins["relay", "wait"]
         checker.errors.append(
-            f"{place}: max-age must be twice wait and {show(RELAY_LATE)} or more, "
-            f"here {show(2 * relay.wait + RELAY_LATE)}"
+            f"{place}: max-age must be twice wait and {show(RELAY_ANSWER_GRACE_MS)} or more, "
+            f"here {show(2 * relay.wait + RELAY_ANSWER_GRACE_MS)}"
         )
--- a/puffinford/operators/schema.py
+++ b/puffinford/operators/schema.py
@@ -17,7 +17,7 @@
 HOUR = 60 * MIN
 DAY = 24 * HOUR
 LIST_AGE_MOST = 2_000.0  # of a list from relays, all tiers together: docs/design-relay.md has the budget
-RELAY_LATE = 400.0  # a relay's own watch without an answer is late so long after its wait
+RELAY_ANSWER_GRACE_MS = 400.0  # a relay's own watch without an answer is late so long after its wait
 
 
 def _show(value: Any) -> str:
--- a/puffinford/operators/units.py
+++ b/puffinford/operators/units.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from puffinford.machines.entries import BadEntry, parse_address
+from puffinford.server_list.entries import BadEntry, parse_address
 
 _DURATIONS = {"ms": 1.0, "s": 1_000.0, "min": 60_000.0, "h": 3_600_000.0, "d": 86_400_000.0}
 _SIZES = {"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
--- a/puffinford/rebalance/planner.py
+++ b/puffinford/rebalance/planner.py
@@ -72,8 +72,8 @@
     load: float  # with what groups cost
     capacity: float  # by size and warmth, in any one unit; 0 where it is out
     usable: bool = True  # a target at all: open, reachable, not slow, with room
-    strained: bool = False
-    flows: int = 0
+    degraded: bool = False
+    connection_count: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,7 +90,7 @@
     group: int | None = None
     quiet: bool = True  # no line waits for an answer
     came_back: bool = False  # its client had been moved or cut off before, perhaps at another balancer
-    members: int = 0  # own connections of its group at the same server, itself among them
+    group_size: int = 0  # own connections of its group at the same server, itself among them
 
 
 @dataclass(frozen=True, slots=True)
@@ -166,8 +166,8 @@
         self._mean = load / capacity if capacity else 0.0
         self._chance = self._noise(load / max(1, len(able)))
         self.ratio = self._imbalance(able)
-        known = [place for place in able if place.flows]
-        if known and sum(place.strained for place in known) > max(1.0, STRAINED * len(known)):
+        known = [place for place in able if place.connection_count]
+        if known and sum(place.degraded for place in known) > max(1.0, STRAINED * len(known)):
             self._signal(Signal.STRAINED, now)
             self._out_since = None
             return Why.STRAINED
@@ -231,7 +231,11 @@
     def sources(self) -> list[Place]:
         """The servers over the mean, fullest first, the one whose group is under way before all."""
         line = self._mean * (1.0 + self._chance / 2.0)
-        over = [p for p in self._places.values() if p.flows and (self._full(p) > line or p.capacity <= 0.0)]
+        over = [
+            p
+            for p in self._places.values()
+            if p.connection_count and (self._full(p) > line or p.capacity <= 0.0)
+        ]
         over.sort(key=self._full, reverse=True)
         if self._group is not None:
             over.sort(key=lambda place: place.id != self._group[1])  # type: ignore[index]
@@ -308,8 +312,8 @@
         if moved is not None and target.id in moved.sources:
             return Why.BACK
         # A group goes whole, for each server that holds any of it pays: one that does not fit is not begun.
-        whole = candidate.load * max(1, candidate.members)
-        if candidate.members > 1 and self._full(target, whole) >= self._full(source):
+        whole = candidate.load * max(1, candidate.group_size)
+        if candidate.group_size > 1 and self._full(target, whole) >= self._full(source):
             return Why.GROUP
         # The fuller of the two has to be less full after it, by a part of what is moved, or it may swing.
         gain = self._full(source) - self._full(target, candidate.load)
--- a/puffinford/rebalance/service.py
+++ b/puffinford/rebalance/service.py
@@ -42,7 +42,7 @@
 
 
 class Rebalancer:
-    """One balancer's. It is the exchange's `watcher`; `run` moves until cancelled."""
+    """One balancer's. It is the exchange's `observer`; `run` moves until cancelled."""
 
     def __init__(
         self, figures: Figures, settings: Settings, exchange: Exchange, clock: Clock, rng: random.Random
@@ -65,23 +65,23 @@
 
     # The exchange's word
 
-    def came_up(self, key: int, cls: str, server: str, set_up: float) -> None:
+    def on_established(self, key: int, cls: str, server: str, set_up: float) -> None:
         """A connection stands: perhaps that of a client that was moved."""
         signal = self.planner.returned(self._clock.now(), key, server, set_up)
         if signal is not None:
             self._tell_signal(signal.value, server=server, ms=round(set_up))
 
-    def turned_away(self, key: int, cls: str, *, failed: bool) -> None:
+    def on_refused(self, key: int, cls: str, *, failed: bool) -> None:
         """A client was turned away: perhaps one that was moved."""
         signal = self.planner.turned_away(self._clock.now(), key, failed=failed)
         if signal is not None:
             self._tell_signal(signal.value)
 
-    def ended(self, key: int, cls: str, server: str, stood: float, *, cut: bool) -> None:
+    def on_closed(self, key: int, cls: str, server: str, stood: float, *, cut: bool) -> None:
         """A connection ended: what lives are judged by."""
         self.planner.ended(cls, stood, cut=cut)
 
-    def late(self, server: str, delay: float) -> None:
+    def on_delay(self, server: str, delay: float) -> None:
         """Messages are late there: a signal where it took moved clients."""
         if delay > self._late_from:
             signal = self.planner.late(self._clock.now(), server)
@@ -106,7 +106,7 @@
         planner = self.planner
         planner.lost_sight(now)
         places = [
-            Place(s.server, s.load, s.capacity, s.usable, s.strained, s.flows)
+            Place(s.server, s.load, s.capacity, s.usable, s.degraded, s.connection_count)
             for s in self._exchange.survey()
         ]
         was = planner.moving
@@ -120,7 +120,7 @@
         wanted = planner.wanted() if why in (None, Why.PACE) else frozenset()
         if wanted != self._wanted:
             self._wanted = wanted
-            self._exchange.favour(wanted)
+            self._exchange.prefer(wanted)
         made = 0
         while why is None and planner.pace.due(now) and self._one(now):
             made += 1
@@ -137,15 +137,17 @@
                     flow.cls,
                     self._worth.get(flow.cls, 1.0),
                     flow.load,
-                    now - flow.placed,
+                    now - flow.placed_at,
                     flow.group,
                     quiet,
                     flow.came_back,
-                    flow.members,
+                    flow.group_size,
+                )
+                for flow, quiet in self._exchange.established_connections(
+                    source.id, self.planner.figures.sample
                 )
-                for flow, quiet in self._exchange.standing(source.id, self.planner.figures.sample)
             ]
-            planned = self.planner.choose(now, sample, self._exchange.advise)
+            planned = self.planner.choose(now, sample, self._exchange.best_server)
             if planned is not None:
                 self._move(planned)
                 return True
@@ -236,7 +238,7 @@
                     "load": round(s.load, 2),
                     "capacity": round(s.capacity, 3),
                     "usable": s.usable,
-                    "connections": s.flows,
+                    "connections": s.connection_count,
                 }
                 for s in self._exchange.survey()
             ],
--- a/puffinford/relay/core.py
+++ b/puffinford/relay/core.py
@@ -11,7 +11,6 @@
 from collections.abc import Hashable
 from dataclasses import dataclass, field
 
-from puffinford.machines.watch import Heard
 from puffinford.relay.admission import Admission, Turn
 from puffinford.relay.answers import AnswerCache, Encoded
 from puffinford.relay.changes import ChangeLog, LogLimits
@@ -19,6 +18,7 @@
 from puffinford.relay.entries import RawGuard, RawList
 from puffinford.relay.staleness import Staleness
 from puffinford.relay.wire import UNAVAILABLE, Call
+from puffinford.server_list.watch import ReceivedAnswer
 
 LONG = 65_536  # bytes from which an answer waits for its turn
 WRITING_MOST = 32 << 20  # bytes of long answers that are written at once
@@ -109,21 +109,21 @@
 
     # Upstream
 
-    def heard(self, heard: Heard[RawList] | None, now: float) -> tuple[int | None, str]:
+    def heard(self, heard: ReceivedAnswer[RawList] | None, now: float) -> tuple[int | None, str]:
         """An answer from upstream, or None for none: the version that the next call goes on from, and why the
         answer is doubted, if it is.
         """
         if heard is None:
             return self._guard.version, ""
-        answer, asked = heard.answer, heard.asked
+        answer, list_call = heard.answer, heard.list_call
         judged = self._guard.judge(answer, self.log.held)
         if judged.note:
             if judged.taken is not None and self.log.notice(judged.taken.entries):
                 self._noticed = True
                 self._tell(now)
             return judged.version, judged.note
-        quiet = asked.index == answer.version and not answer.full and not answer.entries
-        self.staleness.confirm(asked.sent, asked.wait, heard.received, quiet)
+        quiet = list_call.index == answer.version and not answer.full and not answer.entries
+        self.staleness.confirm(list_call.sent_at, list_call.wait, heard.received_at, quiet)
         if judged.taken is not None and self.log.take(judged.taken):
             self._tell(now)
         return judged.version, ""
--- a/puffinford/relay/entries.py
+++ b/puffinford/relay/entries.py
@@ -7,10 +7,10 @@
 
 import orjson
 
-from puffinford.core.values import Machine, MachineList
+from puffinford.core.values import ServerEntries, ServerEntry
 from puffinford.interface import Server, ServerState
-from puffinford.machines.entries import STATES
-from puffinford.machines.watch import CallFailed
+from puffinford.server_list.entries import STATES_BY_NAME
+from puffinford.server_list.watch import CallFailed
 from puffinford.state.recovery import ListGuard
 
 LEFT = "left"
@@ -102,27 +102,27 @@
     def judge(self, answer: RawList, held: Callable[[str], RawEntry | None]) -> Judged:
         """What to take of an answer; `held` gives the entry in force of an id."""
         machines = [_machine(entry) for entry in answer.entries]
-        taken = self._guard.judge(MachineList(answer.version, answer.full, machines))
-        if taken.machines is None:
+        taken = self._guard.judge(ServerEntries(answer.version, answer.full, machines))
+        if taken.entries is None:
             return Judged(None, taken.version, taken.note)
-        chosen = _as_came(taken.machines.machines, answer.entries, held)
+        chosen = _as_came(taken.entries.entries, answer.entries, held)
         return Judged(
-            replace(answer, version=taken.machines.version, full=taken.machines.full, entries=chosen),
+            replace(answer, version=taken.entries.version, full=taken.entries.full, entries=chosen),
             taken.version,
             taken.note,
         )
 
 
-def _machine(entry: RawEntry) -> Machine:
+def _machine(entry: RawEntry) -> ServerEntry:
     """What the guard looks at. A state that is not known here is the balancers' to judge."""
-    return Machine(Server(entry.id, state=STATES.get(entry.state, ServerState.LIVE)), "", 0)
+    return ServerEntry(Server(entry.id, state=STATES_BY_NAME.get(entry.state, ServerState.LIVE)), "", 0)
 
 
 def _as_came(
-    machines: Iterable[Machine], entries: list[RawEntry], held: Callable[[str], RawEntry | None]
+    machines: Iterable[ServerEntry], entries: list[RawEntry], held: Callable[[str], RawEntry | None]
 ) -> list[RawEntry]:
     """The entries that the guard has chosen; one that it found absent is the held one, as left."""
-    came = {(entry.id, STATES.get(entry.state, ServerState.LIVE)): entry for entry in entries}
+    came = {(entry.id, STATES_BY_NAME.get(entry.state, ServerState.LIVE)): entry for entry in entries}
     chosen = []
     for machine in machines:
         entry = came.get((machine.server.id, machine.server.state))
--- a/puffinford/relay/server.py
+++ b/puffinford/relay/server.py
@@ -24,7 +24,7 @@
 READ_WITHIN = 3_000.0  # ms for a call to come whole
 WRITE_WITHIN = 3_000.0  # ms for its answer to be taken
 BACKLOG = 4_096
-ACCEPT_TURN = 128  # connections accepted before others have a turn
+MAX_ACCEPTS_PER_TURN = 128  # connections accepted before others have a turn
 _RESET = struct.pack("ii", 1, 0)
 _HEAD_END = b"\r\n\r\n"
 
@@ -182,7 +182,7 @@
     def _accept(self) -> None:
         assert self._listener is not None
         loop = asyncio.get_running_loop()
-        for _ in range(ACCEPT_TURN):
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 sock, _peer = self._listener.accept()
             except BlockingIOError:
--- a/puffinford/relay/service.py
+++ b/puffinford/relay/service.py
@@ -12,15 +12,15 @@
 import anyio
 
 from puffinford.core.clock import Clock
-from puffinford.machines.endpoints import Endpoints, RetryPolicy
-from puffinford.machines.watch import Heard, ListWatch, WatchTiming
 from puffinford.operators import RelaySettings
-from puffinford.operators.schema import RELAY_LATE
+from puffinford.operators.schema import RELAY_ANSWER_GRACE_MS
 from puffinford.relay.changes import LogLimits
 from puffinford.relay.core import ListRelay, RelayFigures, Response
 from puffinford.relay.entries import RawList, decode
 from puffinford.relay.server import Caller, CallServer, Limits
 from puffinford.relay.wire import Call
+from puffinford.server_list.endpoints import EndpointSelector, RetryPolicy
+from puffinford.server_list.watch import ListWatch, ReceivedAnswer, WatchTiming
 
 log = logging.getLogger(__name__)
 
@@ -28,13 +28,20 @@
 BATCH = 128  # answers written before the loop has a turn
 FIGURES_EVERY = 10_000.0  # ms; doubts of an upstream are logged no more often either
 DESCRIPTORS_SPARE = 64  # for all that is no caller
-RETRY = RetryPolicy(first=250.0, most=1_000.0)  # relays are few, and their lists grow old meanwhile
+RETRY = RetryPolicy(
+    initial_window=250.0, max_window=1_000.0
+)  # relays are few, and their lists grow old meanwhile
 
 
 def timing(wait: float) -> WatchTiming:
     """How a relay calls upstream, by the wait of its watch in ms."""
     return WatchTiming(
-        int(wait), late=RELAY_LATE, beside=500.0, beside_long=1_000.0, jitter=50.0, retry=RETRY
+        int(wait),
+        answer_grace=RELAY_ANSWER_GRACE_MS,
+        hedge_delay=500.0,
+        max_hedge_delay=1_000.0,
+        jitter=50.0,
+        retry=RETRY,
     )
 
 
@@ -78,7 +85,7 @@
         self.relay = ListRelay(figures(settings))
         limits = Limits(min(settings.calls, _descriptors() - DESCRIPTORS_SPARE))
         self.server = CallServer(clock, limits, self._call, self.relay.left)
-        upstream = Endpoints(settings.upstream, rng, RETRY)
+        upstream = EndpointSelector(settings.upstream, rng, RETRY)
         reject = partial(_rejected, log)
         self._watch: ListWatch[RawList] = ListWatch(
             upstream,
@@ -87,7 +94,7 @@
             lambda body: decode(body, reject),
             self._heard,
             timing(settings.wait),
-            unprompted=True,
+            always_subscribed=True,
             rng=rng,
         )
         self._fresh: bool | None = None
@@ -111,7 +118,7 @@
         finally:
             self.server.close()
 
-    def _heard(self, heard: Heard[RawList] | None) -> int | None:
+    def _heard(self, heard: ReceivedAnswer[RawList] | None) -> int | None:
         version, doubt = self.relay.heard(heard, self._clock.now())
         if doubt and self._clock.now() >= self._doubted_at + FIGURES_EVERY:
             self._doubted_at = self._clock.now()
--- a/puffinford/scale/arrivals.py
+++ b/puffinford/scale/arrivals.py
@@ -57,7 +57,7 @@
     ]
     if returns:
         figures.append(("again", "1"))
-    return Opening.from_figures(f"{me:04x}{arrival.key}{returns:x}", arrival.key, tuple(figures))
+    return Opening.from_parameters(f"{me:04x}{arrival.key}{returns:x}", arrival.key, tuple(figures))
 
 
 async def live(arrival: Arrival, crowd: Crowd, me: int, clock: Clock, connect: Connect) -> None:
--- a/puffinford/scale/hollow.py
+++ b/puffinford/scale/hollow.py
@@ -16,14 +16,14 @@
 
 from puffinford.core.clock import Clock
 from puffinford.core.exchange import Exchange
-from puffinford.core.values import MachineList, Opening
+from puffinford.core.values import Opening, ServerEntries
 from puffinford.interface import Settings
-from puffinford.machines.endpoints import preference
-from puffinford.machines.entries import parse_address
 from puffinford.operators import OperatorSettings
 from puffinford.scale.arrivals import Arrival, Outcome, arrivals, live
 from puffinford.scale.messages import Crowd, HollowSpec, Skip
 from puffinford.scale.sides import HollowClient, HollowServers
+from puffinford.server_list.endpoints import rendezvous_order
+from puffinford.server_list.entries import parse_address
 from puffinford.state import recovery
 from puffinford.state.keeper import weights
 from puffinford.state.list_client import ListClient
@@ -42,7 +42,7 @@
         self._lists = 0
         self.informed = anyio.Event()  # a list is in force
 
-    def take_list(self, machines: MachineList | None) -> None:
+    def take_list(self, machines: ServerEntries | None) -> None:
         """Pass on a list, or the failure of a call (None)."""
         if machines is not None:
             self._lists += 1
@@ -69,16 +69,16 @@
     def __init__(self, placed: Counter[str]) -> None:
         self._placed = placed
 
-    def came_up(self, key: int, cls: str, server: str, set_up: float) -> None:
+    def on_established(self, key: int, cls: str, server: str, set_up: float) -> None:
         self._placed[server] += 1
 
-    def turned_away(self, key: int, cls: str, *, failed: bool) -> None:
+    def on_refused(self, key: int, cls: str, *, failed: bool) -> None:
         """Counted by the client's outcome."""
 
-    def ended(self, key: int, cls: str, server: str, stood: float, *, cut: bool) -> None:
+    def on_closed(self, key: int, cls: str, server: str, stood: float, *, cut: bool) -> None:
         """Not counted."""
 
-    def late(self, server: str, delay: float) -> None:
+    def on_delay(self, server: str, delay: float) -> None:
         """Hollow servers are never late."""
 
 
@@ -104,14 +104,14 @@
         sides = {"lines": self._servers, "channels": self._servers}
         self._exchange = Exchange(settings, seed, clock, sides)
         placed = totals.placed.setdefault(me, Counter())
-        self._exchange.watcher = PlacementCounter(placed)
+        self._exchange.observer = PlacementCounter(placed)
         start = recovery.merge(None, None, clock.now(), 0.0, weights(operators.state), 0.0)
         self._recorder = ListRecorder(self._exchange, me, record, spec.skip)
         self._list = ListClient(self._recorder, start, clock, lambda machines: None)
         discovery = parse_address(spec.discovery[me - spec.first])
-        unprompted = not settings.list_on_request
-        relays = preference(balancer_name(me), operators.discovery.relays)
-        self._list.watch(discovery, unprompted=unprompted, seed=seed, relays=relays)
+        always_subscribed = not settings.list_on_request
+        relays = rendezvous_order(balancer_name(me), operators.discovery.relays)
+        self._list.watch(discovery, always_subscribed=always_subscribed, seed=seed, relays=relays)
 
     @property
     def informed(self) -> anyio.Event:
--- a/puffinford/scale/real.py
+++ b/puffinford/scale/real.py
@@ -20,8 +20,8 @@
 from puffinford.scale.messages import Crowd
 from puffinford.scale.told import InForceRow
 from puffinford.standins.balancer import BalancerProcess
-from puffinford.standins.listeners import HOST, Lines
-from puffinford.standins.servers import LineServer, Make
+from puffinford.standins.listeners import HOST, LineStream
+from puffinford.standins.servers import LineServer, ServerProfile
 from puffinford.standins.trace import Trace
 
 READY_EVERY_S = 0.02
@@ -72,7 +72,7 @@
             balancer.start()
         with anyio.fail_after(most):
             for me, balancer in self.balancers.items():
-                while not (balancer.listening() and self.logged(me).taken):
+                while not (balancer.is_listening() and self.logged(me).taken):
                     if not balancer.running:
                         raise TimeoutError(f"{balancer.name} has ended; see {balancer.log}")
                     await anyio.sleep(READY_EVERY_S)
@@ -93,7 +93,7 @@
 
     def resident(self) -> int:
         """Bytes of memory that all hold together."""
-        return sum(balancer.resident() for balancer in self.balancers.values())
+        return sum(balancer.resident_bytes() for balancer in self.balancers.values())
 
     def logged(self, me: int) -> Logged:
         """What the balancer's log tells so far."""
@@ -125,10 +125,10 @@
             stream = await anyio.connect_tcp(HOST, port)
         except OSError:
             return Outcome.BROKEN
-        lines = Lines(stream)
+        lines = LineStream(stream)
         try:
-            figures = ",".join(f"{name}={value}" for name, value in opening.figures)
-            await lines.say(f"OPEN {opening.request_id} {opening.key} {figures}".encode())
+            parameters = ",".join(f"{name}={value}" for name, value in opening.parameters)
+            await lines.send_line(f"OPEN {opening.request_id} {opening.key} {parameters}".encode())
             if not (await lines.next()).startswith(b"UP "):
                 return Outcome.REFUSED
             with self._clock.limit(life):
@@ -146,7 +146,7 @@
         trace = Trace(clock.now)
         rng = random.Random(f"servers {seed}")
         self._servers = [
-            LineServer(f"s{number:05}", Make(), clock, trace, rng, tasks) for number in range(count)
+            LineServer(f"s{number:05}", ServerProfile(), clock, trace, rng, tasks) for number in range(count)
         ]
         for server in self._servers:
             server.start()
--- a/puffinford/scale/run.py
+++ b/puffinford/scale/run.py
@@ -35,8 +35,8 @@
 from puffinford.scale.real import RealBalancers, RealSpec, ServerPool
 from puffinford.scale.seen import Costs, Seen
 from puffinford.scale.stories import RelayFault, Story, changes, third
-from puffinford.standins.balancer import facts
-from puffinford.standins.clients import Kind
+from puffinford.standins.balancer import platform_settings
+from puffinford.standins.clients import ClientClass
 
 READY_LEAST_S = 20.0  # for all to have a list ...
 READY_EACH_S = 0.015  # ... and so much for each balancer
@@ -124,8 +124,8 @@
 
     def _settings(self) -> dict[str, Any]:
         crowd = self._plan.crowd
-        kinds = [Kind(crowd.cls, give_up=crowd.wait_ms, life=crowd.life_ms)]
-        return facts(kinds, balancers=self._plan.balancers)
+        kinds = [ClientClass(crowd.cls, give_up=crowd.wait_ms, life=crowd.life_ms)]
+        return platform_settings(kinds, balancers=self._plan.balancers)
 
     def _start_hollow(self, tasks: anyio.abc.TaskGroup) -> None:
         plan = self._plan
--- a/puffinford/scale/sides.py
+++ b/puffinford/scale/sides.py
@@ -8,7 +8,17 @@
 import anyio
 
 from puffinford.core.clock import Clock
-from puffinford.core.values import AttemptEnded, Busy, Ended, Failed, Leg, Machine, Message, Opening, Up
+from puffinford.core.values import (
+    AttemptEnded,
+    Busy,
+    Failed,
+    Message,
+    Opening,
+    PeerClosed,
+    PeerConnection,
+    ServerEntry,
+    Up,
+)
 from puffinford.interface import Result
 from puffinford.scale.arrivals import Outcome
 
@@ -23,7 +33,7 @@
 
     async def receive(self) -> Message:
         await self._ended.wait()
-        raise Ended
+        raise PeerClosed
 
     async def send(self, message: Message) -> None:
         """Nothing is answered: clients of a scale run stand in rest."""
@@ -50,15 +60,15 @@
         self._set_up = set_up
         self._dead = frozenset(dead)
 
-    async def claim(
+    async def open_connection(
         self,
-        machine: Machine,
+        entry: ServerEntry,
         opening: Opening,
         wait: float,
         admit: Callable[[], Awaitable[None]],
         sent: Callable[[], None],
-    ) -> tuple[Leg, Up]:
-        if machine.server.id in self._dead:
+    ) -> tuple[PeerConnection, Up]:
+        if entry.server.id in self._dead:
             raise AttemptEnded(Result.CONNECT_FAILED)
         await admit()
         sent()
@@ -68,8 +78,8 @@
             raise AttemptEnded(Result.TIMEOUT)
         return HollowLeg(), Up(f"r-{opening.request_id}")
 
-    async def probe(self, machine: Machine, wait: float, load: bool) -> tuple[Result, str]:
-        return (Result.CONNECT_FAILED if machine.server.id in self._dead else Result.OK), ""
+    async def probe(self, entry: ServerEntry, wait: float, load: bool) -> tuple[Result, str]:
+        return (Result.CONNECT_FAILED if entry.server.id in self._dead else Result.OK), ""
 
 
 class HollowClient:
@@ -87,12 +97,12 @@
         await self._up.wait()
         await self._clock.sleep(self._life)
         self.outcome = Outcome.DONE
-        raise Ended
+        raise PeerClosed
 
     async def send(self, message: Message) -> None:
         """Nothing is answered."""
 
-    async def left(self) -> bool:
+    async def has_left(self) -> bool:
         return False
 
     async def answer(self, answer: Up | Busy | Failed) -> None:
--- a/puffinford/serve.py
+++ b/puffinford/serve.py
@@ -14,24 +14,30 @@
 from puffinford.config import BadConfig, Config
 from puffinford.core.clock import Clock
 from puffinford.core.exchange import Exchange
-from puffinford.core.lacks import waited_out
-from puffinford.core.places import state_path
 from puffinford.core.shutdown import plan_shutdown
-from puffinford.core.starts import StartTimes
-from puffinford.core.values import ServerSide
-from puffinford.fronts.accepting import Door
-from puffinford.fronts.channels.client import ChannelClients
-from puffinford.fronts.channels.server import ChannelServers
-from puffinford.fronts.lines.client import LineClients
-from puffinford.fronts.lines.server import LineServers
-from puffinford.fronts.sockets import MGMT_MOST, MGMT_TURN, RESERVE, Budget, descriptors_allowed
+from puffinford.core.start_times import StartTimes
+from puffinford.core.state_path import state_path
+from puffinford.core.transient_errors import retry_transient
+from puffinford.core.values import ServerConnector
+from puffinford.fronts.accepting import ConnectionTracker
+from puffinford.fronts.channels.client import ChannelClientHandler
+from puffinford.fronts.channels.server import ChannelServerConnector
+from puffinford.fronts.lines.client import LineClientHandler
+from puffinford.fronts.lines.server import LineServerConnector
+from puffinford.fronts.sockets import (
+    MAX_MGMT_DESCRIPTORS,
+    MGMT_ACCEPTS_PER_TURN,
+    RESERVED_DESCRIPTORS,
+    DescriptorBudget,
+    raise_descriptor_limit,
+)
 from puffinford.listening import Bound, Front, Listening
-from puffinford.machines.endpoints import preference
-from puffinford.management.calls import Calls
+from puffinford.management.admin_api import AdminApi
 from puffinford.management.cordons import Cordons
-from puffinford.management.http import HttpCalls
-from puffinford.management.versions import Versions
+from puffinford.management.http import HttpCallHandler
+from puffinford.management.versions import VersionRegistry
 from puffinford.rebalance.service import Rebalancer, figures
+from puffinford.server_list.endpoints import rendezvous_order
 from puffinford.state.keeper import Keeper, store_file
 from puffinford.state.list_client import ListClient
 
@@ -53,12 +59,15 @@
         self._config = config
         self._clock = clock
         self._load = load
-        self._budget = Budget(descriptors_allowed(config.limits.sockets), RESERVE + MGMT_MOST + MGMT_TURN)
-        door = Door(clock, self._budget)
+        self._budget = DescriptorBudget(
+            raise_descriptor_limit(config.limits.sockets),
+            RESERVED_DESCRIPTORS + MAX_MGMT_DESCRIPTORS + MGMT_ACCEPTS_PER_TURN,
+        )
+        tracker = ConnectionTracker(clock, self._budget)
         connect_timeout = config.settings.connect_timeout
-        self._line_servers = LineServers(clock, self._budget, connect_timeout)
-        self._channel_servers = ChannelServers(clock, self._budget, connect_timeout)
-        sides: dict[str, ServerSide] = {"lines": self._line_servers, "channels": self._channel_servers}
+        self._line_servers = LineServerConnector(clock, self._budget, connect_timeout)
+        self._channel_servers = ChannelServerConnector(clock, self._budget, connect_timeout)
+        sides: dict[str, ServerConnector] = {"lines": self._line_servers, "channels": self._channel_servers}
         self._exchange = Exchange(config.settings, config.seed, clock, sides)
         place = store_file(config.operators.state, config.state, config.name)
         exchange = self._exchange
@@ -86,24 +95,28 @@
             self._list.read(config.inventory)
         else:
             assert config.discovery is not None
-            unprompted = not config.settings.list_on_request
-            relays = preference(config.name or str(config.listen), config.operators.discovery.relays)
-            self._list.watch(config.discovery, unprompted=unprompted, seed=config.seed, relays=relays)
-        clients = LineClients(self._exchange, door)
-        lines = Front("lines", clients.handle, door, turn_away=clients.turn_away)
-        channels = Front("channels", ChannelClients(self._exchange, door).handle, door)
+            always_subscribed = not config.settings.list_on_request
+            relays = rendezvous_order(config.name or str(config.listen), config.operators.discovery.relays)
+            self._list.watch(
+                config.discovery, always_subscribed=always_subscribed, seed=config.seed, relays=relays
+            )
+        clients = LineClientHandler(self._exchange, tracker)
+        lines = Front("lines", clients.handle, tracker, turn_away=clients.turn_away)
+        channels = Front("channels", ChannelClientHandler(self._exchange, tracker).handle, tracker)
         # Guards operators against crowds of clients: callers have descriptors of their own.
-        callers = Door(clock, Budget(MGMT_MOST + 1, 0), part=1)
+        callers = ConnectionTracker(clock, DescriptorBudget(MAX_MGMT_DESCRIPTORS + 1, 0), idle_divisor=1)
         path = state_path(config.state, config.name)
         self._cordons = Cordons(path, self._exchange.cordon)
         extras = {"rebalance": self._rebalancer.answer}
-        calls = HttpCalls(Calls(self._exchange, self._cordons, self._lacking, extras).answer, callers)
-        management = Front("management", calls.handle, callers, MGMT_TURN)
+        calls = HttpCallHandler(
+            AdminApi(self._exchange, self._cordons, self._lacking, extras).answer, callers
+        )
+        management = Front("management", calls.handle, callers, MGMT_ACCEPTS_PER_TURN)
         self._listening = Listening(config, clock, lines, channels, management, self._may_accept)
-        self._versions = Versions(path)
+        self._versions = VersionRegistry(path)
         for budget in (self._budget, callers.budget):
-            budget.changed = lambda: self._versions.tell_held(self._budget.used + callers.budget.used)
-        self._budget.elsewhere = lambda: self._versions.held_elsewhere
+            budget.on_change = lambda: self._versions.publish_sockets(self._budget.used + callers.budget.used)
+        self._budget.used_elsewhere = lambda: self._versions.descriptors_elsewhere
         self._tasks: anyio.abc.TaskGroup
         self._connections: anyio.abc.TaskGroup  # what was accepted
         self._draining = False
@@ -118,10 +131,10 @@
             self._versions.register()
         except OSError as exc:
             log.error("alone", extra={"error": str(exc)})
-        self._cordons.look()
+        self._cordons.refresh()
         with anyio.open_signal_receiver(*signums) as signals:
             # Guards who comes at once against a signal that nobody obeys yet: its default ends the process.
-            listeners = await waited_out(lambda: self._listening.bind(self._config), self._clock)
+            listeners = await retry_transient(lambda: self._listening.bind(self._config), self._clock)
             self._name_absent()
             async with anyio.create_task_group() as tasks:
                 self._tasks = tasks
@@ -146,8 +159,8 @@
             log.warning("settings absent", extra={"taken": named})
 
     def _start_rebalancing(self) -> None:
-        if self._exchange.watcher is None:
-            self._exchange.watcher = self._rebalancer
+        if self._exchange.observer is None:
+            self._exchange.observer = self._rebalancer
             self._tasks.start_soon(self._rebalancer.run)
 
     async def _obey(self, signals: AsyncIterator[signal.Signals]) -> None:
@@ -181,14 +194,14 @@
     async def _shut_down(self, told: float, settings: it.Settings) -> None:
         """End the process by the plan that counts from `told`, when `settings` were in force."""
         known = (settings, await self._told_before())
-        self._versions.look()
-        succeeded = self._versions.succeeded
-        plan = plan_shutdown(known, succeeded=succeeded)
+        self._versions.refresh()
+        has_ready_successor = self._versions.has_ready_successor
+        plan = plan_shutdown(known, has_ready_successor=has_ready_successor)
         spans = {"answer_ms": round(plan.answer_at), "close_ms": round(plan.close_at)}
         log.info("shutdown", extra={**spans, "kill_ms": round(plan.kill_at)})
         self._budget.close_at = told + plan.close_at
         self._rebalancer.planner.paused = True  # everybody is moved now
-        if succeeded:
+        if has_ready_successor:
             self._keeper.let_go()
         settle = max(0.0, told + plan.move_from - self._clock.now())
         await self._exchange.drain(settle, told + plan.answer_at - self._clock.now() - settle)
@@ -202,15 +215,15 @@
         even those are closed that have no answer yet, on the clock.
         """
         self._listening.stop()
-        door = self._listening.lines.door  # both fronts have the same
+        tracker = self._listening.lines.tracker  # both fronts have the same
         close_at = self._budget.close_at
         while True:
-            door.dismiss()
+            tracker.evict_all()
             if self._clock.now() >= close_at - LAST_WORDS:
-                door.end_sessions()
+                tracker.end_sessions()
             await self._clock.sleep(LAST_LOOK)
             now = self._clock.now()
-            over = (now >= close_at and door.answered) or (self._listening.ended and door.empty)
+            over = (now >= close_at and tracker.all_answered) or (self._listening.ended and tracker.is_empty)
             if over or now >= last:
                 break
 
@@ -218,17 +231,17 @@
 
     async def _watch_versions(self) -> None:
         while True:
-            self._versions.look()
-            if self._versions.followed:
+            self._versions.refresh()
+            if self._versions.has_successor:
                 self._keeper.hand_over()
-            self._cordons.look()
+            self._cordons.refresh()
             self._lacking()
             self._succeeded()
             await self._clock.sleep(LOOK)
 
     def _succeeded(self) -> bool:
         """Whether this process is leaving and a later version is there: then that one alone accepts."""
-        if not (self._draining and self._versions.succeeded):
+        if not (self._draining and self._versions.has_ready_successor):
             return False
         for front in self._listening.fronts:
             if front.stop():
@@ -237,21 +250,21 @@
 
     def _may_accept(self) -> bool:
         """Whether clients are accepted: beside an earlier version only once this one can serve."""
-        return self._exchange.informed or not self._versions.succeeding
+        return self._exchange.has_server_list or not self._versions.has_predecessor
 
     def _lacking(self) -> str:
         """What this process lacks to serve; nothing where it is ready."""
         lack = ""
         lines = self._listening.lines
-        if not self._exchange.informed:
+        if not self._exchange.has_server_list:
             lack = "no machine list yet"
-        elif not self._cordons.in_force:
+        elif not self._cordons.in_sync:
             lack = "the cordons cannot be read"
         elif not lines.listeners or lines.scope is None:
             lack = "not listening yet"
         elif not self._exchange.serving or lines.scope.cancel_called:
             lack = "leaving"
-        elif self._versions.succeeding and self._clock.now() < self._started + HAND_OVER:
+        elif self._versions.has_predecessor and self._clock.now() < self._started + HAND_OVER:
             lack = "an earlier version has not handed over yet"
         # Guards the change of versions: the old one's SIGTERM may follow a yes within milliseconds.
         ready = not (lack or self._draining)
@@ -259,7 +272,7 @@
             # As of the moment of the yes: until then the old version is the one that learns.
             self._keeper.take_over()
         self._ready = ready
-        self._versions.tell_ready(ready)
+        self._versions.publish_ready(ready)
         return lack
 
     # A new configuration
@@ -277,7 +290,7 @@
             return config, self._listening.bind(config)
 
         try:
-            loaded = await waited_out(made, self._clock)
+            loaded = await retry_transient(made, self._clock)
             if loaded is not None:
                 self._take_config(*loaded)
         except (BadConfig, OSError) as exc:
@@ -297,12 +310,12 @@
             self._rebalancer.planner.configure(figures(config.operators.rebalance))
             if config.operators.rebalance.enabled:
                 self._start_rebalancing()
-        self._budget.limit = descriptors_allowed(config.limits.sockets)
+        self._budget.limit = raise_descriptor_limit(config.limits.sockets)
         self._exchange.configure(config.settings)
         self._line_servers.connect_timeout = config.settings.connect_timeout
         self._channel_servers.connect_timeout = config.settings.connect_timeout
         if config.discovery is not None:
-            self._list.move(config.discovery, changed=config.discovery != old.discovery)
+            self._list.change_address(config.discovery, changed=config.discovery != old.discovery)
         self._listening.listen(config, made, self._tasks, self._connections)
         self._name_absent()
         log.info("reloaded", extra={"balancer": config.name})
--- a/puffinford/machines/discovery.py
+++ b/puffinford/server_list/discovery.py
@@ -19,41 +19,41 @@
 from collections.abc import Callable, Sequence
 
 from puffinford.core.clock import Clock
-from puffinford.core.starts import StartTimes
-from puffinford.core.values import MachineList
-from puffinford.machines.endpoints import Address, Endpoints, RetryPolicy
-from puffinford.machines.entries import BadEntry, machine_list
-from puffinford.machines.watch import (
-    AGENT_RETRY,
+from puffinford.core.start_times import StartTimes
+from puffinford.core.values import ServerEntries
+from puffinford.server_list.endpoints import Address, EndpointSelector, RetryPolicy
+from puffinford.server_list.entries import BadEntry, parse_server_list
+from puffinford.server_list.watch import (
+    AGENT_RETRY_MS,
     ANSWER_MOST,
-    OUT_MOST,
+    MAX_CONCURRENT_CALLS,
     CallFailed,
-    Heard,
     ListWatch,
+    ReceivedAnswer,
     WatchTiming,
 )
 
 __all__ = [
-    "AGENT_RETRY",
+    "AGENT_RETRY_MS",
+    "ANSWER_GRACE_MS",
     "ANSWER_MOST",
-    "DIRECT",
-    "LATE",
-    "OUT_MOST",
-    "THROUGH_RELAYS",
-    "WAIT",
+    "DIRECT_TIMING",
+    "MAX_CONCURRENT_CALLS",
+    "RELAYED_TIMING",
+    "WATCH_WAIT_MS",
     "CallFailed",
     "DiscoveryWatch",
 ]
 
 log = logging.getLogger(__name__)
 
-DIRECT = WatchTiming()  # at discovery itself; after a failure the module paces the calls
-THROUGH_RELAYS = WatchTiming(wait=1_500, retry=RetryPolicy())
-WAIT = DIRECT.wait
-LATE = DIRECT.late
+DIRECT_TIMING = WatchTiming()  # at discovery itself; after a failure the module paces the calls
+RELAYED_TIMING = WatchTiming(wait=1_500, retry=RetryPolicy())
+WATCH_WAIT_MS = DIRECT_TIMING.wait
+ANSWER_GRACE_MS = DIRECT_TIMING.answer_grace
 
 
-class DiscoveryWatch(ListWatch[MachineList]):
+class DiscoveryWatch(ListWatch[ServerEntries]):
     """Calls discovery when the module asks; the module also paces the calls after a failure."""
 
     def __init__(
@@ -61,30 +61,30 @@
         address: Address,
         version: int | None,
         clock: Clock,
-        take: Callable[[MachineList | None], int | None],
-        unprompted: bool = False,
+        take: Callable[[ServerEntries | None], int | None],
+        always_subscribed: bool = False,
         rng: random.Random | None = None,
         relays: Sequence[Address] = (),
         starts: StartTimes | None = None,
     ) -> None:
         """`take` hears each answer, or None for a call that failed, and says from which version the next call
-        goes on: None for the whole list. `version` is where the first call goes on from. `unprompted`: the
-        module takes changes for told without asking. `relays` are asked in place of `address`, the preferred
-        one first. `starts` is shared with whatever else in this process reads lists.
+        goes on: None for the whole list. `version` is where the first call goes on from. `always_subscribed`:
+        the module takes changes for told without asking. `relays` are asked in place of `address`, the
+        preferred one first. `starts` is shared with whatever else in this process reads lists.
         """
         self._starts = starts or StartTimes(clock)
         self._address = address
-        self.relayed = bool(relays)  # whether relays are asked in place of discovery
+        self.uses_relays = bool(relays)  # whether relays are asked in place of discovery
         rng = rng or random.Random()
-        timing = THROUGH_RELAYS if relays else DIRECT
-        endpoints = Endpoints(relays or [address], rng, timing.retry or RetryPolicy())
+        timing = RELAYED_TIMING if relays else DIRECT_TIMING
+        endpoints = EndpointSelector(relays or [address], rng, timing.retry or RetryPolicy())
 
-        def heard(heard: Heard[MachineList] | None) -> int | None:
+        def heard(heard: ReceivedAnswer[ServerEntries] | None) -> int | None:
             return take(None if heard is None else heard.answer)
 
-        super().__init__(endpoints, version, clock, self._machines, heard, timing, unprompted, rng)
+        super().__init__(endpoints, version, clock, self._machines, heard, timing, always_subscribed, rng)
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Discovery answers at another address from now on: ask there at once, for the whole list.
 
         Guards against the news between two addresses: a version of the old one may mean nothing at the
@@ -93,15 +93,15 @@
         if address == self._address:
             return
         self._address = address
-        if self.relayed:
+        if self.uses_relays:
             return
         log.info("discovery moved", extra={"to": "{}:{}".format(*address)})
-        self.restart(Endpoints([address], self._rng, RetryPolicy()))
+        self.restart(EndpointSelector([address], self._rng, RetryPolicy()))
 
-    def _machines(self, body: bytes) -> MachineList:
+    def _machines(self, body: bytes) -> ServerEntries:
         """The machines of a body; raises CallFailed."""
         try:
-            return machine_list(
+            return parse_server_list(
                 json.loads(body),
                 self._starts,
                 lambda text: log.warning("discovery entry rejected", extra={"error": text}),
--- a/puffinford/machines/endpoints.py
+++ b/puffinford/server_list/endpoints.py
@@ -11,35 +11,35 @@
 from collections.abc import Collection, Sequence
 from dataclasses import dataclass
 
-from puffinford.hashing import mixed, stable_hash
+from puffinford.hashing import hash_fraction, stable_hash
 
 Address = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class RetryPolicy:
-    """Pauses in ms. The n-th failure in a row is followed by one drawn from 0 to `first` times 2^(n-1)."""
+    """Pauses in ms. The n-th failure in a row is followed by one from 0 to `initial_window` times 2^(n-1)."""
 
-    first: float = 1_000.0
-    most: float = 2_000.0
+    initial_window: float = 1_000.0
+    max_window: float = 2_000.0
     return_least: float = 5_000.0  # with another endpoint at least this long, and up to ...
     return_spread: float = 30_000.0  # ... so much longer, doubled while the preferred one goes on failing
     return_most: float = 240_000.0
 
 
-def preference(name: str, endpoints: Sequence[Address]) -> list[Address]:
+def rendezvous_order(name: str, endpoints: Sequence[Address]) -> list[Address]:
     """Endpoints by rendezvous hashing (Thaler and Ravishankar 1998) of the client's name with each of them.
 
     One endpoint more or less moves only the clients that prefer it. Doubled ones count once.
     """
 
     def weight(endpoint: Address) -> tuple[float, Address]:
-        return mixed(stable_hash("{}|{}:{}".format(name, *endpoint))), endpoint
+        return hash_fraction(stable_hash("{}|{}:{}".format(name, *endpoint))), endpoint
 
     return sorted(dict.fromkeys(endpoints), key=weight, reverse=True)
 
 
-class Endpoints:
+class EndpointSelector:
     """The choice of one client. `addresses` are in order of preference, and not empty."""
 
     def __init__(self, addresses: Sequence[Address], rng: random.Random, policy: RetryPolicy) -> None:
@@ -63,7 +63,7 @@
             self._chosen = 0
         return self._addresses[self._chosen]
 
-    def beside(self, out: Collection[Address]) -> Address:
+    def choose_hedge(self, out: Collection[Address]) -> Address:
         """The endpoint for a call beside others: the next that none of them went to, if there is one."""
         return self._next([address for address in self._addresses if address not in out])
 
@@ -99,7 +99,9 @@
 
     def pause(self) -> float:
         """How long to wait after a failure, in ms, drawn anew each time."""
-        window = min(self._policy.most, self._policy.first * 2.0 ** min(max(0, self._failures - 1), 16))
+        window = min(
+            self._policy.max_window, self._policy.initial_window * 2.0 ** min(max(0, self._failures - 1), 16)
+        )
         return window * self._rng.random()
 
     def _take(self, number: int, now: float) -> None:
--- a/puffinford/machines/entries.py
+++ b/puffinford/server_list/entries.py
@@ -7,12 +7,12 @@
 from typing import Any
 
 from puffinford.codec import is_text
-from puffinford.core.starts import StartOf, StartTimes
-from puffinford.core.values import Machine, MachineList
+from puffinford.core.start_times import StartTimeLookup, StartTimes
+from puffinford.core.values import ServerEntries, ServerEntry
 from puffinford.interface import Server, ServerState
 
-STATES = {"active": ServerState.LIVE, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
-FRONTS = ("lines", "channels")
+STATES_BY_NAME = {"active": ServerState.LIVE, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
+FRONT_NAMES = ("lines", "channels")
 FIGURE_MOST = 1 << 53  # of an entry: what a float holds exactly; JSON may tell more than any float can
 VERSION_MOST = (1 << 63) - 1  # of a list: what a store holds
 
@@ -52,29 +52,29 @@
     return host.strip("[]"), number
 
 
-def machine(entry: object, start_of: StartOf) -> Machine:
+def parse_entry(entry: object, start_of: StartTimeLookup) -> ServerEntry:
     """One entry; raises BadEntry."""
     if not isinstance(entry, Mapping):
         raise BadEntry("the entry is no set of named values")
     state = _text(entry, "state", "active")
-    if state not in STATES:
+    if state not in STATES_BY_NAME:
         raise BadEntry(f"state {state!r} is unknown")
     front = _text(entry, "front", "lines")
-    if front not in FRONTS:
+    if front not in FRONT_NAMES:
         raise BadEntry(f"front {front!r} is unknown")
     ident = _text(entry, "id")
-    gone = STATES[state] is ServerState.GONE
+    gone = STATES_BY_NAME[state] is ServerState.GONE
     host, port = parse_address(_text(entry, "addr")) if not gone or "addr" in entry else ("", 0)
     server = Server(
         ident,
         _text(entry, "zone", "-") if entry.get("zone") else "",
         _text(entry, "kind", "-") if entry.get("kind") else "",
         int(_number(entry, "cell", 0)),
-        STATES[state],
+        STATES_BY_NAME[state],
         _number(entry, "weight", 1.0),
         start_of(ident, _number(entry, "started_ms", 0)),
     )
-    return Machine(server, host, port, front)
+    return ServerEntry(server, host, port, front)
 
 
 def _newest_start(entries: Iterable[object]) -> float:
@@ -85,7 +85,7 @@
     )
 
 
-def machine_list(answer: object, starts: StartTimes, reject: Callable[[str], None]) -> MachineList:
+def parse_server_list(answer: object, starts: StartTimes, reject: Callable[[str], None]) -> ServerEntries:
     """A whole answer in discovery's form. A bad entry is rejected by itself; a bad frame raises BadEntry."""
     if not isinstance(answer, dict) or not isinstance(answer.get("servers"), list):
         raise BadEntry("servers is missing or no list")
@@ -94,11 +94,11 @@
         raise BadEntry("version is missing or no whole number of 64 bits")
     if type(answer.get("full")) is not bool:
         raise BadEntry("full is missing or not true or false")
-    starts.heard(_newest_start(answer["servers"]))
+    starts.observe_latest(_newest_start(answer["servers"]))
     machines = []
     for number, entry in enumerate(answer["servers"]):
         try:
-            machines.append(machine(entry, starts.of))
+            machines.append(parse_entry(entry, starts.local_time))
         except BadEntry as exc:
             reject(f"entry {number}: {exc}")
-    return MachineList(version, answer["full"], machines)
+    return ServerEntries(version, answer["full"], machines)
--- a/puffinford/machines/inventory.py
+++ b/puffinford/server_list/inventory.py
@@ -14,9 +14,9 @@
 import yaml
 
 from puffinford.core.clock import Clock
-from puffinford.core.starts import StartOf, StartTimes
-from puffinford.core.values import Machine, MachineList
-from puffinford.machines.entries import BadEntry, machine
+from puffinford.core.start_times import StartTimeLookup, StartTimes
+from puffinford.core.values import ServerEntries, ServerEntry
+from puffinford.server_list.entries import BadEntry, parse_entry
 
 log = logging.getLogger(__name__)
 
@@ -87,17 +87,17 @@
     return {**entry, "addr": f"{host}:{port}"}
 
 
-def load(path: Path, start_of: StartOf) -> tuple[list[Machine], list[str]]:
+def load(path: Path, start_of: StartTimeLookup) -> tuple[list[ServerEntry], list[str]]:
     """The machines of a file, and a line `FILE:LINE: what is wrong` for each entry that is rejected."""
     read = {".csv": _csv_entries, ".yaml": _yaml_entries, ".yml": _yaml_entries}.get(path.suffix)
     if read is None:
         raise BadInventory(f"{path}: neither .csv nor .yaml")
-    machines: dict[str, Machine] = {}
+    machines: dict[str, ServerEntry] = {}
     rejected = []
     try:
         for line, entry in read(path.read_text(encoding="utf-8")):
             try:
-                made = machine(_with_address(entry), start_of)
+                made = parse_entry(_with_address(entry), start_of)
                 if made.server.id in machines:
                     raise BadEntry(f"id {made.server.id!r} stands there twice")
                 machines[made.server.id] = made
@@ -118,7 +118,7 @@
         self,
         path: Path,
         clock: Clock,
-        take: Callable[[MachineList | None], object],
+        take: Callable[[ServerEntries | None], object],
         starts: StartTimes | None = None,
     ) -> None:
         """`take` hears each list; `starts` is shared with whatever else in this process reads lists."""
@@ -131,7 +131,7 @@
 
     def check(self) -> None:
         """Raise BadInventory if the file cannot be read: at a start there is no last list to keep."""
-        load(self._path, self._starts.of)
+        load(self._path, self._starts.local_time)
 
     def _stamp(self) -> tuple[int, int] | None:
         try:
@@ -144,7 +144,7 @@
         """Read the file; a file that cannot be read leaves the last list in force."""
         self._seen = self._stamp()
         try:
-            machines, rejected = load(self._path, self._starts.of)
+            machines, rejected = load(self._path, self._starts.local_time)
         except BadInventory as exc:
             log.error("inventory unreadable", extra={"error": str(exc)})
             self._take(None)
@@ -153,7 +153,7 @@
             log.warning("inventory entry rejected", extra={"error": text})
         self._version += 1
         log.info("inventory", extra={"file": str(self._path), "entries": len(machines)})
-        self._take(MachineList(self._version, True, machines))
+        self._take(ServerEntries(self._version, True, machines))
 
     def refresh(self) -> bool:
         """Read the file if it has changed; nothing is left to wait for."""
--- a/puffinford/machines/watch.py
+++ b/puffinford/server_list/watch.py
@@ -17,16 +17,18 @@
 import h11
 
 from puffinford.core.clock import Clock
-from puffinford.core.lacks import LACK_PAUSES, is_momentary
-from puffinford.machines.endpoints import Address, Endpoints, RetryPolicy
+from puffinford.core.transient_errors import RETRY_PAUSES_MS, is_transient
+from puffinford.server_list.endpoints import Address, EndpointSelector, RetryPolicy
 
 log = logging.getLogger(__name__)
 
-OUT_MOST = 3  # calls out at once; discovery's queue alone may take 3 s, so one is not given up before
+MAX_CONCURRENT_CALLS = (
+    3  # calls out at once; discovery's queue alone may take 3 s, so one is not given up before
+)
 SAME_LEAST = 100.0  # between answers with no news, with room for the 200 ms in which a watch goes on
 MOVED_FOR = 4_000.0  # after a move its news counts as told; until then a failed call is repeated soon
 MOVED_RETRY = 250.0
-AGENT_RETRY = 150.0  # where lists are pushed: a watch goes on if the next call follows within 200 ms
+AGENT_RETRY_MS = 150.0  # where lists are pushed: a watch goes on if the next call follows within 200 ms
 DOUBT_FOR = 10_000.0  # so long an older list is not believed that one of several endpoints tells alone
 SAID_EVERY = 10_000.0  # a call that fails again and again is logged no more often
 ANSWER_MOST = 4 << 20
@@ -57,21 +59,23 @@
     """How long calls take, in ms."""
 
     wait: int = 4_000  # how long a watch call may wait at its endpoint: what a call that hangs holds back
-    late: float = 400.0  # after its wait a watch without an answer is late ...
-    beside: float = 1_000.0  # ... as any call is after this: another, which does not wait, goes beside it ...
-    beside_long: float = 2_500.0  # ... and once OUT_MOST are out, so that a long silence costs few calls
+    answer_grace: float = 400.0  # after its wait a watch without an answer is late ...
+    hedge_delay: float = (
+        1_000.0  # ... as any call is after this: another, which does not wait, goes beside it ...
+    )
+    max_hedge_delay: float = 2_500.0  # ... and once OUT_MOST are out, so that a long silence costs few calls
     jitter: float = 100.0  # at most, drawn each time: watches that fell silent together are not late together
     retry: RetryPolicy | None = None  # how a watch paces itself after a failure; None: its owner paces it
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """One call. `index` is None where it asks for the whole list; `wait` and `sent` are ms."""
+class ListCall:
+    """One call. `index` is None where it asks for the whole list; `wait` and `sent_at` are ms."""
 
     endpoint: Address
     index: int | None
     wait: float
-    sent: float
+    sent_at: float
 
     @property
     def path(self) -> str:
@@ -81,12 +85,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard(Generic[Answer]):
+class ReceivedAnswer(Generic[Answer]):
     """An answer, with the call that it answers and when it was there."""
 
     answer: Answer
-    asked: Asked
-    received: float
+    list_call: ListCall
+    received_at: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,14 +101,14 @@
     endpoint: Address
     since: float
 
-    def stays(self, heard: Heard[Answer]) -> bool:
+    def stays(self, heard: ReceivedAnswer[Answer]) -> bool:
         """Whether an answer says no more than what is doubted.
 
         Guards against one relay that was restarted with an older list: while there are others, it is not
         believed for saying it again, until these have been silent for long.
         """
-        older = heard.answer.version < self.held and heard.asked.endpoint == self.endpoint
-        return older and heard.received < self.since + DOUBT_FOR
+        older = heard.answer.version < self.held and heard.list_call.endpoint == self.endpoint
+        return older and heard.received_at < self.since + DOUBT_FOR
 
 
 class ListWatch(Generic[Answer]):
@@ -112,18 +116,18 @@
 
     def __init__(
         self,
-        endpoints: Endpoints,
+        endpoints: EndpointSelector,
         version: int | None,
         clock: Clock,
         decode: Callable[[bytes], Answer],
-        take: Callable[[Heard[Answer] | None], int | None],
+        take: Callable[[ReceivedAnswer[Answer] | None], int | None],
         timing: WatchTiming,
-        unprompted: bool = False,
+        always_subscribed: bool = False,
         rng: random.Random | None = None,
     ) -> None:
         """`decode` reads a body and raises CallFailed. `take` hears each answer, or None for a call that
         failed, and says from which version the next call goes on: None for the whole list. `version` is where
-        the first call goes on from. `unprompted`: it watches from the start, and is never told to.
+        the first call goes on from. `always_subscribed`: it watches from the start, and is never told to.
         """
         self._endpoints = endpoints
         self._version = version  # 0 is a version too
@@ -133,7 +137,7 @@
         self._decode = decode
         self._take = take
         self._timing = timing
-        self._unprompted = unprompted
+        self._unprompted = always_subscribed
         self._watching: anyio.CancelScope | None = None
         self._moved_at = float("-inf")
         self._said_at = float("-inf")
@@ -161,7 +165,7 @@
             self._watching.cancel()
             self._watching = None
 
-    def restart(self, endpoints: Endpoints) -> None:
+    def restart(self, endpoints: EndpointSelector) -> None:
         """Ask at other endpoints from now on, at once and for the whole list."""
         self._endpoints = endpoints
         self._version = None
@@ -208,7 +212,7 @@
                 if self._unprompted:
                     # Guards the drains: what the agent of our own machine has counts as told, and it
                     # costs nothing to ask. The pauses that the module makes are seconds long.
-                    await self._clock.sleep(AGENT_RETRY * (0.5 + 0.5 * self._rng.random()))
+                    await self._clock.sleep(AGENT_RETRY_MS * (0.5 + 0.5 * self._rng.random()))
                     continue
                 if self._clock.now() - self._moved_at >= MOVED_FOR:
                     break  # the module asks again
@@ -232,91 +236,93 @@
         chosen = self._endpoints.choose(self._clock.now())
         if self._timing.retry is not None and chosen != self._heard_from:
             wait = 0  # guards the list's age against an endpoint that is tried, and may hang
-        asked = Asked(chosen, index, wait if index is not None else 0, self._clock.now())
+        list_call = ListCall(chosen, index, wait if index is not None else 0, self._clock.now())
         try:
-            heard = await self._first(asked)
+            heard = await self._first(list_call)
         except CallFailed as exc:
-            self._say(asked.path, str(exc))
+            self._say(list_call.path, str(exc))
             self._take(None)
             return False
         if self._doubt is not None and self._doubt.stays(heard):
-            self._endpoints.failed(heard.asked.endpoint, heard.received)
-            self._say(asked.path, f"version {heard.answer.version} after {self._doubt.held}")
+            self._endpoints.failed(heard.list_call.endpoint, heard.received_at)
+            self._say(list_call.path, f"version {heard.answer.version} after {self._doubt.held}")
             self._take(None)
             return False
         self._said_at = float("-inf")
-        self._heard_from = heard.asked.endpoint
+        self._heard_from = heard.list_call.endpoint
         log.info("discovery", extra={"version": heard.answer.version, "entries": heard.answer.size})
         held = self._version
         self._version = self._take(heard)
         self._note_doubt(heard, held)
         return True
 
-    def _note_doubt(self, heard: Heard[Answer], held: int | None) -> None:
+    def _note_doubt(self, heard: ReceivedAnswer[Answer], held: int | None) -> None:
         """After an answer: whether its endpoint is gone on with."""
-        endpoint = heard.asked.endpoint
+        endpoint = heard.list_call.endpoint
         if self._version is not None or len(self._endpoints) == 1:
             self._doubt = None
-            self._endpoints.answered(endpoint, heard.received)
+            self._endpoints.answered(endpoint, heard.received_at)
             return
-        self._doubt = None if held is None else _Doubt(held, endpoint, heard.received)
-        self._endpoints.failed(endpoint, heard.received)
+        self._doubt = None if held is None else _Doubt(held, endpoint, heard.received_at)
+        self._endpoints.failed(endpoint, heard.received_at)
 
     def _say(self, path: str, error: str) -> None:
         if self._clock.now() >= self._said_at + SAID_EVERY:
             self._said_at = self._clock.now()
             log.warning("discovery failed", extra={"path": path, "error": error})
 
-    async def _first(self, asked: Asked) -> Heard[Answer]:
+    async def _first(self, list_call: ListCall) -> ReceivedAnswer[Answer]:
         """Guards the list's age against calls that hang: none is waited for alone.
 
         Raises CallFailed once every call out has failed.
         """
         timing = self._timing
-        heard: Heard[Answer] | None = None
+        heard: ReceivedAnswer[Answer] | None = None
         failure = CallFailed("no call was made")
         out: dict[anyio.CancelScope, Address] = {}  # the oldest first
         async with anyio.create_task_group() as calls:
 
-            async def call(asked: Asked) -> None:
+            async def call(list_call: ListCall) -> None:
                 nonlocal heard, failure
                 with anyio.CancelScope() as scope:
-                    out[scope] = asked.endpoint
+                    out[scope] = list_call.endpoint
                     try:
-                        answer = await self._call(asked)
-                        heard = Heard(answer, asked, self._clock.now())
+                        answer = await self._call(list_call)
+                        heard = ReceivedAnswer(answer, list_call, self._clock.now())
                     except CallFailed as exc:
                         failure = exc
-                        self._endpoints.failed(asked.endpoint, self._clock.now())
+                        self._endpoints.failed(list_call.endpoint, self._clock.now())
                     out.pop(scope, None)
                     if heard is not None or not out:
                         calls.cancel_scope.cancel()
 
-            calls.start_soon(call, asked)
-            late = asked.wait + timing.late if asked.wait else timing.beside
+            calls.start_soon(call, list_call)
+            answer_grace = list_call.wait + timing.answer_grace if list_call.wait else timing.hedge_delay
             while True:
-                await self._clock.sleep(late + timing.jitter * self._rng.random())
-                endpoint = self._endpoints.beside(out.values())
-                if len(out) >= OUT_MOST:
+                await self._clock.sleep(answer_grace + timing.jitter * self._rng.random())
+                endpoint = self._endpoints.choose_hedge(out.values())
+                if len(out) >= MAX_CONCURRENT_CALLS:
                     oldest = next(iter(out))
                     del out[oldest]
                     oldest.cancel()
-                    self._say(asked.path, "no answer in time")
-                calls.start_soon(call, Asked(endpoint, self._index(), 0, self._clock.now()))
-                late = timing.beside if len(out) < OUT_MOST - 1 else timing.beside_long
+                    self._say(list_call.path, "no answer in time")
+                calls.start_soon(call, ListCall(endpoint, self._index(), 0, self._clock.now()))
+                answer_grace = (
+                    timing.hedge_delay if len(out) < MAX_CONCURRENT_CALLS - 1 else timing.max_hedge_delay
+                )
         if heard is None:
             raise failure
         return heard
 
-    async def _call(self, asked: Asked) -> Answer:
+    async def _call(self, list_call: ListCall) -> Answer:
         """Guards the list's age against what this machine lacks for a moment: it is waited out first."""
-        pauses = iter(LACK_PAUSES)
+        pauses = iter(RETRY_PAUSES_MS)
         while True:
             try:
-                return self._decode(await self._get(asked.endpoint, asked.path))
+                return self._decode(await self._get(list_call.endpoint, list_call.path))
             except (OSError, anyio.BrokenResourceError, anyio.EndOfStream, h11.ProtocolError) as exc:
                 pause = next(pauses, None)
-                if pause is None or not is_momentary(exc):
+                if pause is None or not is_transient(exc):
                     raise CallFailed(f"{type(exc).__name__}: {exc}") from None
             await self._clock.sleep(pause)
 
--- a/puffinford/slow_start.py
+++ b/puffinford/slow_start.py
@@ -8,8 +8,8 @@
 from __future__ import annotations
 
 from puffinford import interface as it
+from puffinford.decision_state import Backend
 from puffinford.fleet import Fleet
-from puffinford.known import Backend
 
 CARRIES_STEP = 0.2  # a change of what servers carry after which turns are counted anew, as a part of it
 SLACK = 3.0  # times the budget told: it is the least a server can do, and chance is allowed for ...
@@ -39,11 +39,11 @@
 
     def warmth(self, backend: Backend, now: float) -> float:
         """The share of its capacity that a server can be counted on for now; 1 when warm."""
-        if backend.cold_from is None:
+        if backend.cold_since is None:
             return 1.0
-        age = now - backend.cold_from
+        age = now - backend.cold_since
         if age >= self._settings.warm_time:
-            backend.cold_from = None
+            backend.cold_since = None
             return 1.0
         low = self._settings.cold_from
         return low + (1.0 - low) * max(age, 0.0) / self._settings.warm_time
@@ -66,7 +66,7 @@
         window = max(WINDOW_LEAST, settings.fall_window or WINDOW)
         changed = self._note_carries(backend)
         each = self._turns_each(backend, warmth, window)
-        age = now - (backend.cold_from or 0.0)
+        age = now - (backend.cold_since or 0.0)
         low = settings.cold_from
         grown = (low + (warmth - low) / 2.0) / warmth  # mean warmth since the start, over the present one
         given = each * grown * max(age, 0.0) / window  # turns of the whole fleet up to now
@@ -94,10 +94,10 @@
 
     def _note_carries(self, backend: Backend) -> bool:
         """Take in what servers carry; tells whether that has changed so far that turns count anew."""
-        carries = self._fleet.carries * min(1.0, self._fleet.share(backend))
-        changed = abs(carries - backend.carries) > CARRIES_STEP * carries
+        warm_capacity = self._fleet.warm_capacity * min(1.0, self._fleet.share(backend))
+        changed = abs(warm_capacity - backend.warm_capacity) > CARRIES_STEP * warm_capacity
         if changed:
-            backend.carries = carries
+            backend.warm_capacity = warm_capacity
         return changed
 
     def _turns_each(self, backend: Backend, warmth: float, window: float) -> float:
@@ -105,7 +105,7 @@
 
         The budget of a window has to hold the turns that fall into it and those left from before.
         """
-        fill = backend.carries * warmth * window / self._settings.warm_time
+        fill = backend.warm_capacity * warmth * window / self._settings.warm_time
         allowed = self._settings.fall_multiple * fill
         # Less one: a window that begins at a turn holds one more than the rate tells.
         budget: float = min(SLACK * allowed, allowed + CHANCE * allowed**0.5 + CHANCE - 1.0)
--- a/puffinford/stage/crowds.py
+++ b/puffinford/stage/crowds.py
@@ -11,7 +11,7 @@
 from puffinford.standins.balancer import BalancerProcess
 from puffinford.standins.clients import Clients
 from puffinford.standins.holding import STATES, send
-from puffinford.standins.listeners import HOST, Lines
+from puffinford.standins.listeners import HOST, LineStream
 
 LAST = 300.0  # ms before the kill in which a third of the held requests are written
 PAST = 20.0  # ms after it, in which another third is
@@ -68,11 +68,11 @@
             stream = await anyio.connect_tcp(HOST, port)
         except OSError:
             return
-        lines = Lines(stream)
+        lines = LineStream(stream)
         try:
             if half:
                 await send(stream, HALF_OPEN)
-            while await lines.next() not in (Lines.FIN, Lines.RST):
+            while await lines.next() not in (LineStream.FIN, LineStream.RST):
                 pass
         finally:
             await anyio.aclose_forcefully(stream)
--- a/puffinford/stage/links.py
+++ b/puffinford/stage/links.py
@@ -14,7 +14,7 @@
 
 from puffinford.core.clock import Clock
 from puffinford.stage.faults import Fault
-from puffinford.standins.listeners import Port, reset
+from puffinford.standins.listeners import ListeningPort, reset
 
 PIECES = 64  # read ahead on a way that is delayed; guards memory against a peer that writes without end
 CONNECT = 2_000.0  # ms
@@ -40,7 +40,7 @@
         self._target = target
         self._clock = clock
         self._changed = anyio.Event()
-        self._port = Port(self._play, tasks)
+        self._port = ListeningPort(self._play, tasks)
         self._port.open()
 
     @property
--- a/puffinford/stage/play.py
+++ b/puffinford/stage/play.py
@@ -24,12 +24,12 @@
 from puffinford.stage.faults import read_process_fault
 from puffinford.stage.relays import Relays, relays
 from puffinford.stage.script import CLIENTS, DISCOVERY, Event, Script
-from puffinford.standins.balancer import BalancerProcess, facts
+from puffinford.standins.balancer import BalancerProcess, platform_settings
 from puffinford.standins.clients import Clients
 from puffinford.standins.discovery import Discovery
 from puffinford.standins.listeners import HOST
 from puffinford.standins.servers import LineServer
-from puffinford.standins.trace import KILLED, Trace, What
+from puffinford.standins.trace import KILLED, EventKind, Trace
 
 TENANTS = 6  # that clients come from, in equal parts
 ENDS = {"server": "sound", "links": "sound", "lists": "plain", "balancers": "wake"}  # after `for`
@@ -120,7 +120,7 @@
                 ports = {f"n{number}>{ident}": port_of(one.address) for ident, one in self.servers.items()}
                 if script.linked:
                     await self.relays.make(number, ports)
-                told = facts(script.kinds, script.balancers, number - 1)
+                told = platform_settings(script.kinds, script.balancers, number - 1)
                 told["domain"]["groups"] = script.grouped
                 if script.quota:
                     told["customers"] = [
@@ -175,7 +175,7 @@
         tasks.start_soon(self._events)
         tasks.start_soon(self._guard)
         tasks.start_soon(self._watch_lateness)
-        self.trace.began_serving = self.trace.elapsed
+        self.trace.serving_started_at = self.trace.elapsed
         self.clients = Clients(
             self.script.kinds,
             self.script.rate,
@@ -188,12 +188,12 @@
             rests=self.script.rests,
         )
         await self.clients.run(self.script.seconds * 1_000.0)
-        self.trace.ended_serving = self.trace.elapsed
+        self.trace.serving_ended_at = self.trace.elapsed
         # Guards the sums of a report: those who have asked are answered, if that takes no longer than usual.
         with self.clock.limit(LAST_ANSWERS):
             while True:
                 await self.clock.sleep(LOOK_EVERY)  # the last one may not have asked yet
-                if not self.clients.asking:
+                if not self.clients.awaiting_answer:
                     break
 
     async def _guard(self) -> None:
@@ -255,7 +255,7 @@
             if whom == "server":
                 await self._server(self.servers[name], do)
                 continue
-            self.trace.add(What.FAULT, by=name, detail=do)
+            self.trace.add(EventKind.FAULT, by=name, detail=do)
             if whom == "lists":
                 self.discovery.twist(name, do)
             elif whom == "balancers":
@@ -328,15 +328,15 @@
         for signum in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
             balancer.ready = False
             if signum == signal.SIGHUP and self.script.holding:
-                balancer.tell(_with_deadlines(balancer.settings, rng.choice(OTHER_DEADLINES)))
+                balancer.write_settings(_with_deadlines(balancer.settings, rng.choice(OTHER_DEADLINES)))
             balancer.signal(signum)
             await self.clock.sleep(SERIES)
         while balancer.running and self.clock.now() < kill_at:
             await self.clock.sleep(LOOK_EVERY)
         if balancer.running:
-            self.trace.add(What.FAULT, by=balancer.name, detail=KILLED)
+            self.trace.add(EventKind.FAULT, by=balancer.name, detail=KILLED)
         balancer.signal(signal.SIGKILL)
-        balancer.tell(balancer.settings)
+        balancer.write_settings(balancer.settings)
         self._start(balancer)
 
     async def _wake(self, balancer: BalancerProcess) -> None:
--- a/puffinford/stage/report.py
+++ b/puffinford/stage/report.py
@@ -10,10 +10,10 @@
 from puffinford.stage.script import Script
 from puffinford.stage.spread import Evenness, Second, evenness, idle, loads, refused_with_room
 from puffinford.standins import checks
-from puffinford.standins.clients import Kind
-from puffinford.standins.servers import WORKING
-from puffinford.standins.trace import Entry, Trace, What
-from puffinford.tables import table
+from puffinford.standins.clients import ClientClass
+from puffinford.standins.servers import SERVING_STATES
+from puffinford.standins.trace import EventKind, Trace, TraceEvent
+from puffinford.text_table import format_table
 
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 LONGEST = 60_000_000  # us: what a histogram of latencies reaches to
@@ -24,12 +24,12 @@
     """Every breach of the rules that a trace shows. Openings after `until` ms may have no answer yet."""
     return [
         *checks.one_final_answer(trace, until),
-        *checks.never_two_claims(trace),
-        *checks.drains_kept(trace),
+        *checks.no_overlapping_attempts(trace),
+        *checks.draining_servers_spared(trace),
     ]
 
 
-def latencies(entries: Iterable[Entry]) -> list[float]:
+def latencies(entries: Iterable[TraceEvent]) -> list[float]:
     """The PERCENTILES of how long these took, in ms; empty where there are none."""
     from hdrh.histogram import HdrHistogram
 
@@ -66,38 +66,41 @@
             do, since = began.pop(name)
             found.setdefault((do, round(since / 100.0), round(at / 100.0)), []).append(name)
 
-    for entry in trace.of(What.FAULT, What.STATE):
+    for entry in trace.of(EventKind.FAULT, EventKind.STATE):
         name = entry.by or entry.server
         end(name, entry.at)
-        if entry.detail not in ("sound", "wake", "plain", "reload") and entry.at >= trace.began_serving:
+        if entry.detail not in ("sound", "wake", "plain", "reload") and entry.at >= trace.serving_started_at:
             began[name] = (entry.detail, entry.at)
     for name in list(began):
-        end(name, max(trace.ended_serving, began[name][1]))
+        end(name, max(trace.serving_ended_at, began[name][1]))
     made = [Span(do, tuple(names), since * 100.0, at * 100.0) for (do, since, at), names in found.items()]
     return sorted(made, key=lambda span: span.began)
 
 
-def by_class(trace: Trace, kinds: Sequence[Kind]) -> str:
+def by_class(trace: Trace, kinds: Sequence[ClientClass]) -> str:
     """What became of the openings of each class, and how long an UP took, as a table."""
     rows = []
     for kind in kinds:
-        ups = [entry for entry in trace.of(What.UP) if entry.cls == kind.name]
-        counts = [trace.count(what)[kind.name] for what in (What.ASKED, What.BUSY, What.FAILED, What.LOST)]
+        ups = [entry for entry in trace.of(EventKind.UP) if entry.cls == kind.name]
+        counts = [
+            trace.count(what)[kind.name]
+            for what in (EventKind.REQUESTED, EventKind.BUSY, EventKind.FAILED, EventKind.LOST)
+        ]
         took = [f"{ms:.1f}" for ms in latencies(ups)] or ["-"] * len(PERCENTILES)
         rows.append((kind.name, counts[0], len(ups), *counts[1:], *took))
     heads = [f"p{percent:g} ms" for percent in PERCENTILES]
-    return table(("class", "asked", "up", "busy", "failed", "lost", *heads), rows)
+    return format_table(("class", "asked", "up", "busy", "failed", "lost", *heads), rows)
 
 
 def by_server(trace: Trace, servers: Sequence[str], seconds: Sequence[Second]) -> str:
     """Claims and clients of each server, and how many stood there on average and at most, as a table."""
-    ups = trace.count(What.UP, lambda entry: entry.server)
-    claims = trace.count(What.CLAIM, lambda entry: entry.server)
+    ups = trace.count(EventKind.UP, lambda entry: entry.server)
+    claims = trace.count(EventKind.ATTEMPT, lambda entry: entry.server)
     rows = []
     for number, ident in enumerate(servers):
         held = [row.held[number] for row in seconds] or [0]
         rows.append((ident, claims[ident], ups[ident], f"{sum(held) / len(held):.1f}", max(held)))
-    return table(("server", "claims", "up", "standing", "at most"), rows)
+    return format_table(("server", "claims", "up", "standing", "at most"), rows)
 
 
 class Report:
@@ -110,9 +113,11 @@
         self._warm = warm
         self.servers = list(script.servers)
         self.weights = [float(make.capacity) for make in script.servers.values()]
-        self.seconds = loads(trace, self.servers, trace.began_serving + warm, trace.ended_serving)
+        self.seconds = loads(trace, self.servers, trace.serving_started_at + warm, trace.serving_ended_at)
         self.faults = spans(trace)
-        self.broken = rules(trace, trace.ended_serving - max(kind.give_up for kind in script.kinds) - 500.0)
+        self.broken = rules(
+            trace, trace.serving_ended_at - max(kind.give_up for kind in script.kinds) - 500.0
+        )
 
     @property
     def evenness(self) -> Evenness | None:
@@ -124,16 +129,16 @@
 
     def refused(self) -> tuple[int, int]:
         """Jobs turned away, and those while the fleet had room; judged once balancers have had a list."""
-        since, until = self.trace.began_serving + self._warm, self.trace.ended_serving
-        turned = sum(since <= entry.at < until for entry in self.trace.of(What.BUSY, What.FAILED))
+        since, until = self.trace.serving_started_at + self._warm, self.trace.serving_ended_at
+        turned = sum(since <= entry.at < until for entry in self.trace.of(EventKind.BUSY, EventKind.FAILED))
         capacity = {ident: float(make.capacity) for ident, make in self.script.servers.items()}
         return turned, refused_with_room(self.trace, capacity, since, until)
 
     def idle(self) -> list[str]:
         """Servers that stood empty while others were loaded, though nothing was wrong with them."""
-        usable: dict[str, float] = dict.fromkeys(self.servers, self.trace.began_serving)
-        for entry in self.trace.of(What.STATE, What.TOLD):
-            sound = (*WORKING, "active") if entry.what is What.STATE else ("active",)
+        usable: dict[str, float] = dict.fromkeys(self.servers, self.trace.serving_started_at)
+        for entry in self.trace.of(EventKind.STATE, EventKind.LISTED):
+            sound = (*SERVING_STATES, "active") if entry.what is EventKind.STATE else ("active",)
             if entry.detail not in sound:
                 usable.pop(entry.server, None)
         return idle(self.seconds, self.servers, usable)
@@ -144,13 +149,13 @@
         if self.faults:
             rows = [
                 (
-                    f"{(span.began - self.trace.began_serving) / 1_000.0:.1f}",
+                    f"{(span.began - self.trace.serving_started_at) / 1_000.0:.1f}",
                     f"{(span.ended - span.began) / 1_000.0:.1f}",
                     span,
                 )
                 for span in self.faults
             ]
-            parts.append(table(("at s", "for s", "fault"), rows))
+            parts.append(format_table(("at s", "for s", "fault"), rows))
         even = self.evenness
         lines = []
         if even is not None:
@@ -159,8 +164,8 @@
                 f" {even.chance:.2f}; worst 5 s of any {even.worst:.2f}; {even.mean:.1f} connections a server"
             )
         turned, with_room = self.refused()
-        asked = max(1, len(list(self.trace.of(What.ASKED))))
-        claims = len(list(self.trace.of(What.CLAIM)))
+        asked = max(1, len(list(self.trace.of(EventKind.REQUESTED))))
+        claims = len(list(self.trace.of(EventKind.ATTEMPT)))
         lines.append(
             f"refused {turned} of {asked}, {with_room} while there was room"
             f" ({100.0 * with_room / asked:.1f}%); {claims / asked:.2f} claims an opening"
@@ -174,12 +179,12 @@
     def figures(self) -> Mapping[str, float]:
         """The figures of a measurement's last line; loads are over each server's part."""
         even = self.evenness or Evenness(0.0, 0.0, 0.0, 0.0, 0.0)
-        asked = max(1, len(list(self.trace.of(What.ASKED))))
+        asked = max(1, len(list(self.trace.of(EventKind.REQUESTED))))
         turned, with_room = self.refused()
         return {
             "fullest": even.fullest, "emptiest": even.emptiest, "worst": even.worst, "chance": even.chance,
             "refused": 100.0 * turned / asked, "with_room": 100.0 * with_room / asked,
-            "claims": len(list(self.trace.of(What.CLAIM))) / asked,
+            "claims": len(list(self.trace.of(EventKind.ATTEMPT))) / asked,
             "idle": float(len(self.idle())), "broken": float(len(self.broken)),
         }  # fmt: skip
 
@@ -191,11 +196,11 @@
         from matplotlib import pyplot
 
         def clock(ms: float) -> float:
-            return (ms - self.trace.began_serving) / 1_000.0
+            return (ms - self.trace.serving_started_at) / 1_000.0
 
         figure, (load, answers, took) = pyplot.subplots(3, 1, figsize=(11, 10), sharex=True)
         all_seconds = loads(
-            self.trace, self.servers, self.trace.began_serving, self.trace.ended_serving, 250.0
+            self.trace, self.servers, self.trace.serving_started_at, self.trace.serving_ended_at, 250.0
         )
         times = [clock(row.at) for row in all_seconds]
         for number, ident in enumerate(self.servers):
@@ -208,11 +213,11 @@
         if len(self.servers) <= 12:
             load.legend(loc="upper right", fontsize=7, ncols=3)
         for what, colour in (
-            (What.UP, "tab:green"),
-            (What.BUSY, "tab:orange"),
-            (What.LOST, "tab:red"),
-            (What.MOVED, "tab:blue"),
-            (What.CUT, "tab:purple"),
+            (EventKind.UP, "tab:green"),
+            (EventKind.BUSY, "tab:orange"),
+            (EventKind.LOST, "tab:red"),
+            (EventKind.MOVED, "tab:blue"),
+            (EventKind.CUT_OFF, "tab:purple"),
         ):
             counted = Counter(int(clock(entry.at) * 2.0) / 2.0 for entry in self.trace.of(what))
             if counted:
@@ -225,7 +230,7 @@
                 )
         answers.set_ylabel("a second")
         answers.legend(loc="upper right", fontsize=7)
-        ups = list(self.trace.of(What.UP))
+        ups = list(self.trace.of(EventKind.UP))
         took.plot(
             [clock(entry.at) for entry in ups], [max(0.1, entry.ms) for entry in ups], ".", markersize=2
         )
--- a/puffinford/stage/script.py
+++ b/puffinford/stage/script.py
@@ -14,9 +14,9 @@
     holding: 0                     # clients of each kind that hold a connection to one that is told to `end`
     channels: false                # whether balancers have the channel front too
     sockets: 4096                  # descriptors that a balancer may hold
-    classes:                       # see `clients.Kind`
+    classes:                       # see `clients.ClientClass`
       price-lookup: {share: 52, aim: 500, give_up: 2000, life: 4000}
-    servers:                       # see `servers.Make`; `count` makes NAME-1, NAME-2, ...
+    servers:                       # see `servers.ServerProfile`; `count` makes NAME-1, NAME-2, ...
       gw: {count: 4, set_up: 5, capacity: 60}
     discovery: {lag: 200}
     events:                        # at: seconds
@@ -48,10 +48,10 @@
 import yaml
 
 from puffinford.stage.faults import BadFault, read_fault, read_process_fault, struck
-from puffinford.standins.balancer import SOCKETS
-from puffinford.standins.clients import Kind
-from puffinford.standins.discovery import MODES, read_twist
-from puffinford.standins.servers import STATES, Make
+from puffinford.standins.balancer import DEFAULT_SOCKETS
+from puffinford.standins.clients import ClientClass
+from puffinford.standins.discovery import MODES, parse_twist
+from puffinford.standins.servers import STATES, ServerProfile
 
 CLIENTS = "clients"  # as a party of links
 DISCOVERY = "discovery"  # as a party of links
@@ -89,8 +89,8 @@
     zones: int = 1
     rate: float = 20.0
     lag: float = 0.0
-    kinds: list[Kind] = field(default_factory=lambda: [Kind("price-lookup")])
-    servers: dict[str, Make] = field(default_factory=dict)
+    kinds: list[ClientClass] = field(default_factory=lambda: [ClientClass("price-lookup")])
+    servers: dict[str, ServerProfile] = field(default_factory=dict)
     events: list[Event] = field(default_factory=list)
     operators: str = ""
     grouped: bool = True
@@ -101,7 +101,7 @@
     rests: float = 0.0
     holding: int = 0
     channels: bool = False
-    sockets: int = SOCKETS
+    sockets: int = DEFAULT_SOCKETS
     busy: dict[str, float] = field(default_factory=dict)
 
     @property
@@ -150,7 +150,9 @@
     made.lag = _figure("discovery.lag", _mapping("discovery", told.get("discovery")).get("lag", 0.0))
     classes = _mapping("classes", told.get("classes"))
     if classes:
-        made.kinds = [_made(Kind, f"classes.{name}", entry, name=name) for name, entry in classes.items()]
+        made.kinds = [
+            _made(ClientClass, f"classes.{name}", entry, name=name) for name, entry in classes.items()
+        ]
     _read_servers(_mapping("servers", told.get("servers")), made)
     for name, value in _mapping("busy", told.get("busy")).items():
         _read_busy(f"busy.{name}", str(name), value, made)
@@ -198,7 +200,7 @@
         for number in range(1, count + 1):
             ident = f"{name}-{number}" if count > 1 else str(name)
             zone = script.zone(len(script.servers))
-            script.servers[ident] = _made(Make, f"servers.{name}", {"zone": zone, **entry})
+            script.servers[ident] = _made(ServerProfile, f"servers.{name}", {"zone": zone, **entry})
 
 
 def _read_busy(where: str, pattern: str, told: Any, script: Script) -> None:
@@ -249,7 +251,7 @@
                 read_process_fault(do)
                 names = struck(f"n{named}" if whom[0] == "balancer" else named, script.names, part, rng)
             case "lists":
-                read_twist(do)
+                parse_twist(do)
                 names = struck(named, script.names, part, rng)
             case "links":
                 read_fault(do)
--- a/puffinford/stage/soak.py
+++ b/puffinford/stage/soak.py
@@ -11,8 +11,8 @@
 
 from puffinford.stage.script import Script, read_script
 from puffinford.standins import checks
-from puffinford.standins.trace import CROWD as CROWD_FAULT
-from puffinford.standins.trace import KILLED, OVER, Entry, Trace, What
+from puffinford.standins.trace import CROWD_ARRIVES as CROWD_FAULT
+from puffinford.standins.trace import FAULT_OVER, KILLED, EventKind, Trace, TraceEvent
 
 SECONDS = 9.0  # of a story
 BALANCERS = 30  # at most
@@ -21,7 +21,7 @@
 RATE_MOST = 60.0  # ... and no more
 BURST = 2.0  # times the rate in stories with a burst
 CROWDED_SOCKETS = (256, 768)  # descriptors of a balancer that a crowd comes to: at least, at most
-CROWD = 1.5  # idle clients that come at once, for each of these
+CROWD_ARRIVES = 1.5  # idle clients that come at once, for each of these
 EACH_SOCKETS = 6  # of these for each client that stands: clients hold a third, each with its server's
 EFFECTS = ("idempotent", "at_most_once", "deduplicated")
 LATE_MOST = 100.0  # ms; with a loop later than this, clients that ran out of time say nothing
@@ -69,7 +69,7 @@
         end = next(event for event in told["events"] if event["do"] == "end")
         at = max(0.0, end["at"] - rng.uniform(0.0, 1.0))
         told["sockets"] = sockets
-        do = f"crowd {round(CROWD * sockets)}"
+        do = f"crowd {round(CROWD_ARRIVES * sockets)}"
         crowd = {"at": at, "balancers": "n*", "part": 0.3, "do": do, "for": rng.uniform(1.0, 4.0)}
         told["events"].append(crowd)
 
@@ -134,16 +134,18 @@
 
     `late` is by how many ms the stand-ins' own loop was late at most: what they saw may be later by as much.
     """
-    settled = trace.ended_serving - max(kind.give_up for kind in script.kinds) - script.patience
+    settled = trace.serving_ended_at - max(kind.give_up for kind in script.kinds) - script.patience
     servers = {ident: CARRIES for ident in script.servers}
-    facts = [entry for entry in trace.of(What.STATE) if entry.detail == "cold"]
+    facts = [entry for entry in trace.of(EventKind.STATE) if entry.detail == "cold"]
     return [
         *checks.one_final_answer(trace, settled),
-        *checks.never_two_claims(trace, checks.CROSSING + 2.0 * late),
-        *checks.drains_kept(trace, GRACE + late),
+        *checks.no_overlapping_attempts(trace, checks.ORDER_TOLERANCE_MS + 2.0 * late),
+        *checks.draining_servers_spared(trace, GRACE + late),
         *lost(trace, script, late),
-        *checks.moves_said(trace),
-        *checks.effects_kept(trace, {kind.name: (kind.effect, kind.window + late) for kind in script.kinds}),
+        *checks.moves_announced(trace),
+        *checks.effects_not_repeated(
+            trace, {kind.name: (kind.effect, kind.window + late) for kind in script.kinds}
+        ),
         *(checks.slow_start_kept(trace, servers) if facts else []),
     ]
 
@@ -156,10 +158,10 @@
     unread where idle clients fill a balancer's descriptors.
     """
     least = {kind.name: kind.give_up for kind in script.kinds}
-    asked = {entry.job: entry for entry in trace.of(What.ASKED)}
+    asked = {entry.job: entry for entry in trace.of(EventKind.REQUESTED)}
     crowded = _crowded(trace)
 
-    def excused(entry: Entry) -> bool:
+    def excused(entry: TraceEvent) -> bool:
         request = asked[entry.job]
         if not request.by or entry.detail == "REFUSED":
             return True
@@ -169,25 +171,27 @@
             since <= request.at and entry.at <= until for since, until in crowded.get(request.by, ())
         )
 
-    return [_told(trace, entry, asked[entry.job]) for entry in trace.of(What.LOST) if not excused(entry)]
+    return [_told(trace, entry, asked[entry.job]) for entry in trace.of(EventKind.LOST) if not excused(entry)]
 
 
-def _told(trace: Trace, lost: Entry, request: Entry) -> str:
+def _told(trace: Trace, lost: TraceEvent, request: TraceEvent) -> str:
     """What became of a lost request, on what connection, and when its balancer was killed, if it was."""
     how = lost.detail or "out of time"
     told = f"{lost.job}: lost after {lost.ms:.0f} ms, {how}, by {request.by}"
     told += f" on a {request.detail or 'new'} connection"
-    kills = [entry.at for entry in trace.of(What.FAULT) if entry.by == request.by and entry.detail == KILLED]
+    kills = [
+        entry.at for entry in trace.of(EventKind.FAULT) if entry.by == request.by and entry.detail == KILLED
+    ]
     return told + "".join(f", written {at - request.at:.1f} ms before the kill" for at in kills)
 
 
 def _crowded(trace: Trace) -> dict[str, list[tuple[float, float]]]:
     """From when until when idle clients came to each balancer, in ms."""
     spans: dict[str, list[tuple[float, float]]] = {}
-    for entry in trace.of(What.FAULT):
+    for entry in trace.of(EventKind.FAULT):
         if entry.detail.split(" ")[0] == CROWD_FAULT:
             spans.setdefault(entry.by, []).append((entry.at, float("inf")))
-        elif entry.detail == OVER and entry.by in spans:
+        elif entry.detail == FAULT_OVER and entry.by in spans:
             since, until = spans[entry.by][-1]
             spans[entry.by][-1] = (since, min(until, entry.at))
     return spans
--- a/puffinford/stage/spread.py
+++ b/puffinford/stage/spread.py
@@ -11,10 +11,10 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from puffinford.standins.servers import WORKING
-from puffinford.standins.trace import Trace, What
+from puffinford.standins.servers import SERVING_STATES
+from puffinford.standins.trace import EventKind, Trace
 
-ENDED = (What.DONE, What.MOVED, What.CUT)
+ENDED = (EventKind.DONE, EventKind.MOVED, EventKind.CUT_OFF)
 OVER_MS = 5_000.0  # the window whose mean load is judged
 JUDGED_FROM = 30.0  # connections a server, on average, from which an evenness can be judged
 ROOM = 0.9  # of the capacity; with more in use, a refusal is no fault
@@ -42,9 +42,9 @@
             seen.append(Second(due, tuple(held[server] for server in servers)))
             due += step
 
-    for entry in trace.of(What.UP, *ENDED):
+    for entry in trace.of(EventKind.UP, *ENDED):
         look(entry.at)
-        held[entry.server] += 1 if entry.what is What.UP else -1
+        held[entry.server] += 1 if entry.what is EventKind.UP else -1
     look(until)
     return seen
 
@@ -107,13 +107,13 @@
     out: set[str] = set()
     counted = 0
     for entry in trace.entries:
-        if entry.what is What.UP:
+        if entry.what is EventKind.UP:
             held[entry.server] += 1
         elif entry.what in ENDED:
             held[entry.server] -= 1
-        elif entry.what is What.STATE:
-            (out.discard if entry.detail in WORKING else out.add)(entry.server)
-        elif entry.what in (What.BUSY, What.FAILED) and since <= entry.at < until:
+        elif entry.what is EventKind.STATE:
+            (out.discard if entry.detail in SERVING_STATES else out.add)(entry.server)
+        elif entry.what in (EventKind.BUSY, EventKind.FAILED) and since <= entry.at < until:
             room = sum(size for server, size in capacity.items() if server not in out)
             counted += sum(held.values()) < ROOM * room
     return counted
--- a/puffinford/stage/watching.py
+++ b/puffinford/stage/watching.py
@@ -9,10 +9,10 @@
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 
 from puffinford.stage.play import Play
-from puffinford.standins.trace import Trace, What
+from puffinford.standins.trace import EventKind, Trace
 
 EVERY = 0.25  # seconds between two looks
-COUNTED: Sequence[What] = (What.UP, What.BUSY, What.LOST, What.MOVED)
+COUNTED: Sequence[EventKind] = (EventKind.UP, EventKind.BUSY, EventKind.LOST, EventKind.MOVED)
 
 
 async def watched(play: Play, shown: bool = True) -> Trace:
@@ -41,11 +41,11 @@
         trace = play.trace
         ready = sum(balancer.ready and balancer.running for balancer in play.balancers)
         told = f"{ready} of {play.script.balancers} balancers"
-        if trace.began_serving:
+        if trace.serving_started_at:
             counts = [f"{what.value} {len(list(trace.of(what)))}" for what in COUNTED]
-            faults = [entry.detail for entry in trace.of(What.FAULT)]
+            faults = [entry.detail for entry in trace.of(EventKind.FAULT)]
             told = f"{told}, {', '.join(counts)}" + (f", last fault {faults[-1]}" if faults else "")
-            passed = min(total, trace.elapsed - trace.began_serving)
+            passed = min(total, trace.elapsed - trace.serving_started_at)
             progress.update(bar, description="playing", completed=passed, told=told)
         else:
             progress.update(bar, told=told)
--- a/puffinford/standins/balancer.py
+++ b/puffinford/standins/balancer.py
@@ -16,11 +16,13 @@
 from pathlib import Path
 from typing import Any
 
-from puffinford.standins.clients import Kind
+from puffinford.standins.clients import ClientClass
 from puffinford.standins.listeners import HOST
 
 
-def facts(kinds: Sequence[Kind], balancers: int = 1, me: int = 0, **more: Any) -> dict[str, Any]:
+def platform_settings(
+    kinds: Sequence[ClientClass], balancers: int = 1, me: int = 0, **more: Any
+) -> dict[str, Any]:
     """The settings of an installation with these classes, as its configuration holds them."""
     told: dict[str, Any] = {
         "classes": [
@@ -66,7 +68,7 @@
     return {**told, **more}
 
 
-SOCKETS = 4_096  # descriptors that a process may hold, where nothing else is told
+DEFAULT_SOCKETS = 4_096  # descriptors that a process may hold, where nothing else is told
 PORTS = (10_000, 32_000)  # under those that the kernel gives to connections going out
 _GIVEN: set[int] = set()  # guards hundreds of processes against two with one port: none listens yet
 
@@ -117,7 +119,7 @@
         seed: int = 1,
         env: Mapping[str, str] | None = None,
         channels: bool = False,
-        sockets: int = SOCKETS,
+        sockets: int = DEFAULT_SOCKETS,
     ) -> None:
         """`operators` is the text of its operators' file, `root` another source tree to run; `env` is added
         to its environment. `channels` turns the channel front on; it may hold `sockets` descriptors.
@@ -155,9 +157,9 @@
         if known is not None:
             told["known"] = known
         self._told = told
-        self.tell(settings)
+        self.write_settings(settings)
 
-    def tell(self, settings: Mapping[str, Any]) -> None:
+    def write_settings(self, settings: Mapping[str, Any]) -> None:
         """Write its configuration with these settings; it reads them at its start and at SIGHUP."""
         self._config.write_text(json.dumps({**self._told, "settings": settings}))
 
@@ -193,7 +195,7 @@
         with open(self.log, "ab") as log:
             self._process = subprocess.Popen(words, env=env, stderr=log, stdout=log, cwd=self._root)
 
-    def listening(self) -> bool:
+    def is_listening(self) -> bool:
         """Whether it takes connections now."""
         with socket.socket() as sock:
             sock.settimeout(0.2)
@@ -223,7 +225,7 @@
         fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
-    def resident(self) -> int:
+    def resident_bytes(self) -> int:
         """Bytes of memory that the process holds."""
         return int(Path(f"/proc/{self.pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
@@ -236,7 +238,7 @@
     def wait_until_listening(self, most: float = 10.0) -> float:
         """Seconds until it took connections; raises TimeoutError."""
         began = time.monotonic()
-        while not self.listening():
+        while not self.is_listening():
             if time.monotonic() - began > most or not self.running:
                 raise TimeoutError(f"{self.name} does not listen; see {self.log}")
             time.sleep(0.005)
--- a/puffinford/standins/checks.py
+++ b/puffinford/standins/checks.py
@@ -6,17 +6,19 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
 
-from puffinford.standins.trace import ANSWERS, Entry, Trace, What
+from puffinford.standins.trace import ANSWERS, EventKind, Trace, TraceEvent
 
 AFTER = 1_000.0  # ms that what was held on a link takes to be through
-CROSSING = 50.0  # ms: the end of one connection and the opening of another may be seen in either order
+ORDER_TOLERANCE_MS = (
+    50.0  # ms: the end of one connection and the opening of another may be seen in either order
+)
 
 
 def _faults(trace: Trace) -> dict[str, list[tuple[float, float]]]:
     """From when until when each link, by its name, was not sound."""
     found: dict[str, list[tuple[float, float]]] = defaultdict(list)
     began: dict[str, float] = {}
-    for entry in trace.of(What.FAULT):
+    for entry in trace.of(EventKind.FAULT):
         if entry.by in began:
             found[entry.by].append((began.pop(entry.by), entry.at))
         if entry.detail != "sound":
@@ -32,8 +34,8 @@
     """
     answers: dict[str, list[str]] = defaultdict(list)
     asked = {}
-    for entry in trace.of(What.ASKED, *ANSWERS):
-        if entry.what is What.ASKED:
+    for entry in trace.of(EventKind.REQUESTED, *ANSWERS):
+        if entry.what is EventKind.REQUESTED:
             asked[entry.job] = entry.at
         else:
             answers[entry.job].append(entry.what.value)
@@ -41,12 +43,12 @@
     return wrong + [f"{job}: no answer" for job, at in asked.items() if job not in answers and at < until]
 
 
-def nothing_lost(trace: Trace) -> list[str]:
+def every_request_answered(trace: Trace) -> list[str]:
     """No opening ended without an answer."""
-    return [f"{entry.job}: {entry.detail or 'lost'}" for entry in trace.of(What.LOST)]
+    return [f"{entry.job}: {entry.detail or 'lost'}" for entry in trace.of(EventKind.LOST)]
 
 
-def never_two_claims(trace: Trace, slack: float = CROSSING) -> list[str]:
+def no_overlapping_attempts(trace: Trace, slack: float = ORDER_TOLERANCE_MS) -> list[str]:
     """No two claims of one job are out for longer than `slack` ms together.
 
     A claim is out for as long as its server sees it. Passed over are those whose link failed meanwhile: that
@@ -54,16 +56,16 @@
     """
     faults = _faults(trace)
 
-    def hidden(claim: Entry, until: float) -> bool:
+    def hidden(claim: TraceEvent, until: float) -> bool:
         """Whether the link of a claim failed between its beginning and then."""
         spans = faults[f"{claim.by}>{claim.server}"]
         return any(claim.at < end + AFTER and since < until for since, end in spans)
 
-    out: dict[str, dict[str, Entry]] = defaultdict(dict)
+    out: dict[str, dict[str, TraceEvent]] = defaultdict(dict)
     wrong = []
-    for entry in trace.of(What.CLAIM, What.CLAIM_END):
+    for entry in trace.of(EventKind.ATTEMPT, EventKind.ATTEMPT_END):
         claims = out[entry.job]
-        if entry.what is What.CLAIM:
+        if entry.what is EventKind.ATTEMPT:
             claims[entry.detail] = entry
             continue
         ended = claims.pop(entry.detail, entry)
@@ -80,7 +82,7 @@
 MISSED = 7_000.0  # ms after a watch fell silent at which what it misses counts as told
 
 
-def drains_kept(trace: Trace, grace: float = 3_000.0) -> list[str]:
+def draining_servers_spared(trace: Trace, grace: float = 3_000.0) -> list[str]:
     """Nothing new comes to a server later than `grace` ms after discovery told that it drains or is gone.
 
     Where the trace names balancers, each is held to what it was told itself; what was written while its link
@@ -95,8 +97,8 @@
 
     told: dict[tuple[str, str], float] = {}
     wrong = []
-    for entry in trace.of(What.TOLD, What.CLAIM):
-        if entry.what is What.TOLD:
+    for entry in trace.of(EventKind.LISTED, EventKind.ATTEMPT):
+        if entry.what is EventKind.LISTED:
             if entry.detail == "active":
                 told.pop((entry.server, entry.by), None)
             else:
@@ -123,16 +125,16 @@
     before: dict[str, float] = {}  # and that of before its cold start
     told: dict[str, set[str]] = defaultdict(set)  # who knows of that
     claims: dict[str, list[tuple[float, bool]]] = defaultdict(list)
-    for entry in trace.of(What.STATE, What.TOLD, What.CLAIM):
+    for entry in trace.of(EventKind.STATE, EventKind.LISTED, EventKind.ATTEMPT):
         server = entry.server
-        if entry.what is What.STATE:
+        if entry.what is EventKind.STATE:
             if entry.detail == "cold":
                 cold[server] = entry.at
                 before[server] = starts.get(server, 0.0)
                 claims[server].clear()
                 told[server].clear()
             continue
-        if entry.what is What.TOLD:
+        if entry.what is EventKind.LISTED:
             starts[server] = entry.ms
             if server in cold and entry.ms != before[server]:
                 told[server].add(entry.by)
@@ -148,7 +150,7 @@
         yield _ColdWindow(server, len(times), sum(knew for _, knew in times), share)
 
 
-def cold_not_flooded(
+def cold_servers_not_flooded(
     trace: Trace,
     capacity: dict[str, float],
     cold_from: float,
@@ -198,7 +200,7 @@
 HELD_UP = 200.0  # ms that a balancer may be held up between reading its clock and writing, and 50 of slack
 
 
-def effects_kept(trace: Trace, kinds: Mapping[str, tuple[str, float]]) -> list[str]:
+def effects_not_repeated(trace: Trace, kinds: Mapping[str, tuple[str, float]]) -> list[str]:
     """No effect is doubled, and none that there may have been is denied by a refusal.
 
     `kinds` are the classes' effects, as settings name them, and windows in ms. What may have run is repeated
@@ -207,29 +209,31 @@
     classes: dict[str, str] = {}
     first: dict[str, float] = {}
     wrong = []
-    for entry in trace.of(What.ASKED, What.RAN, What.BUSY):
-        if entry.what is What.ASKED:
+    for entry in trace.of(EventKind.REQUESTED, EventKind.EXECUTED, EventKind.BUSY):
+        if entry.what is EventKind.REQUESTED:
             classes[entry.job] = entry.cls
             continue
         effect, window = kinds[classes[entry.job]]
         since = first.get(entry.job)
-        if entry.what is What.RAN:
+        if entry.what is EventKind.EXECUTED:
             first.setdefault(entry.job, entry.at)
         if since is None or effect == "idempotent":
             continue
-        if entry.what is What.BUSY and effect == "at_most_once":
+        if entry.what is EventKind.BUSY and effect == "at_most_once":
             wrong.append(f"{entry.job}: refused though it may have run")
-        elif entry.what is What.RAN and (effect == "at_most_once" or entry.at > since + window + HELD_UP):
+        elif entry.what is EventKind.EXECUTED and (
+            effect == "at_most_once" or entry.at > since + window + HELD_UP
+        ):
             wrong.append(f"{entry.job}: again {entry.at - since:.0f} ms after it may have run, {effect}")
     return wrong
 
 
-def moves_said(trace: Trace) -> list[str]:
+def moves_announced(trace: Trace) -> list[str]:
     """No standing connection was cut but by its server, which says so of each that it resets."""
     broken: set[tuple[str, str]] = set()
     wrong = []
-    for entry in trace.of(What.BROKEN, What.CUT):
-        if entry.what is What.BROKEN:
+    for entry in trace.of(EventKind.BROKEN, EventKind.CUT_OFF):
+        if entry.what is EventKind.BROKEN:
             broken.add((entry.job, entry.server))
         elif (entry.job, entry.server) not in broken:
             wrong.append(f"{entry.job}: cut without MOVE, {entry.server} had not broken it")
--- a/puffinford/standins/clients.py
+++ b/puffinford/standins/clients.py
@@ -18,15 +18,15 @@
     line_script,
     send,
 )
-from puffinford.standins.listeners import HOST, Lines, reset
-from puffinford.standins.trace import Trace, What
+from puffinford.standins.listeners import HOST, LineStream, reset
+from puffinford.standins.trace import EventKind, Trace
 
 REST = 3_000.0  # ms that a client rests at most before it asks
 HELD_EVERY = 100.0  # ms between the lines of one that uses its connection until its balancer ends
 
 
 @dataclass(frozen=True)
-class Kind:
+class ClientClass:
     """A class of clients. Times in ms."""
 
     name: str
@@ -41,7 +41,7 @@
     window: float = 5_000.0  # in which servers discard repeats, where the effect says so
 
 
-def _opening(job: str, kind: Kind, group: str, again: str) -> bytes:
+def _opening(job: str, kind: ClientClass, group: str, again: str) -> bytes:
     """The line that opens a connection, without its end."""
     figures = f"c={kind.name},t=m{int(group, 16) % 6},d={kind.give_up:.0f},g={group}{again}"
     return f"OPEN {job} {group} {figures}".encode()
@@ -57,7 +57,7 @@
     """The request of a held connection, to the balancer `by`."""
 
     job: str
-    kind: Kind
+    kind: ClientClass
     by: str
     how: str  # of its connection, for the trace
 
@@ -67,7 +67,7 @@
 
     def __init__(
         self,
-        kinds: Sequence[Kind],
+        kinds: Sequence[ClientClass],
         rate: float,
         front: Callable[[], tuple[str, int] | None],
         clock: Clock,
@@ -98,7 +98,7 @@
         self._made = 0
         self._seed = rng.getrandbits(32)
         self.standing = 0
-        self.asking = 0  # those that wait for their answer
+        self.awaiting_answer = 0  # those that wait for their answer
 
     async def run(self, for_ms: float) -> None:
         """Arrivals for so long; what has arrived goes on in the task group."""
@@ -111,14 +111,14 @@
             await self._clock.sleep(due - self._clock.now())
             self.arrive()
 
-    def arrive(self, kind: Kind | None = None) -> None:
+    def arrive(self, kind: ClientClass | None = None) -> None:
         """One client comes now."""
         kind = kind or self._rng.choices(self._kinds, [k.share for k in self._kinds])[0]
         life = self._rng.expovariate(1.0 / kind.life)
         group = f"{self._rng.randrange(kind.groups):x}"
         self._tasks.start_soon(self._live, kind, life, group)
 
-    async def _live(self, kind: Kind, life: float, group: str) -> None:
+    async def _live(self, kind: ClientClass, life: float, group: str) -> None:
         """One client from its first try until it is done or has given up."""
         end = self._clock.now() + life
         tries, again = 0, ""
@@ -133,12 +133,12 @@
                 tries += 1
                 await self._clock.sleep(max(wait, self._rng.uniform(20.0, 190.0)))
 
-    async def _try(self, kind: Kind, life: float, group: str, again: str) -> tuple[str, float]:
+    async def _try(self, kind: ClientClass, life: float, group: str, again: str) -> tuple[str, float]:
         """One connection: `done`, `back` where it stood and ended, `no` with the ms to stay away."""
         job = self._next_job()
         by, port = self._front() or ("", 0)
         stream: SocketStream | None = None
-        lines: Lines | None = None
+        lines: LineStream | None = None
         if self._rests and self._rng.random() < self._rests:
             lines = await self._rested(port)
             if lines is None:
@@ -146,26 +146,26 @@
             stream = lines.stream
         began = self._clock.now()
         rested = "rested" if lines is not None else ""
-        self._trace.add(What.ASKED, job=job, cls=kind.name, by=by, detail=rested)
+        self._trace.add(EventKind.REQUESTED, job=job, cls=kind.name, by=by, detail=rested)
         answer = b""
-        self.asking += 1
+        self.awaiting_answer += 1
         try:
             with self._clock.limit(kind.give_up + self._patience):
                 if port:
                     stream = stream or await anyio.connect_tcp(HOST, port)
-                    lines = lines or Lines(stream)
-                    await lines.say(_opening(job, kind, group, again))
+                    lines = lines or LineStream(stream)
+                    await lines.send_line(_opening(job, kind, group, again))
                     answer = await lines.next()
         except OSError:
             answer = b"REFUSED"
         finally:
-            self.asking -= 1
+            self.awaiting_answer -= 1
         ms = self._clock.now() - began
         try:
             if lines is None or not answer.startswith(b"UP "):
                 return self._turned_away(job, kind, answer, ms)
             server = _server(answer)
-            self._trace.add(What.UP, job=job, cls=kind.name, server=server, ms=ms)
+            self._trace.add(EventKind.UP, job=job, cls=kind.name, server=server, ms=ms)
             # Guards what came right behind UP, in the same piece: the reader that holds it goes on.
             return await self._stay(lines, kind, job, server, life), 0.0
         finally:
@@ -198,7 +198,7 @@
                 connection: Connection = ChannelLines(stream)
             else:
                 script = line_script(state, opening)
-                connection = Lines(stream)
+                connection = LineStream(stream)
             if not await send(stream, script.before):
                 return
             if script.greeted and await connection.next() != b"PONG":
@@ -218,7 +218,7 @@
 
         async def ask() -> None:
             await self._clock.sleep(wait)
-            self._trace.add(What.ASKED, job=asked.job, cls=kind.name, by=asked.by, detail=asked.how)
+            self._trace.add(EventKind.REQUESTED, job=asked.job, cls=kind.name, by=asked.by, detail=asked.how)
             told.set()
             await send(connection.stream, rest)
 
@@ -232,17 +232,17 @@
             self._turned_away(asked.job, kind, answer, ms)
             return
         server = _server(answer)
-        self._trace.add(What.UP, job=asked.job, cls=kind.name, server=server, ms=ms)
+        self._trace.add(EventKind.UP, job=asked.job, cls=kind.name, server=server, ms=ms)
         await self._stay(connection, kind, asked.job, server, REST + kind.give_up)
 
-    async def _rested(self, port: int) -> Lines | None:
+    async def _rested(self, port: int) -> LineStream | None:
         """A connection that has been heard and has rested; None where it was ended meanwhile."""
         try:
             stream = await anyio.connect_tcp(HOST, port)
         except OSError:
             return None
-        lines = Lines(stream)
-        await lines.say(b"PING")
+        lines = LineStream(stream)
+        await lines.send_line(b"PING")
         ended = await lines.next() != b"PONG"
         with self._clock.limit(self._rng.uniform(0.0, REST)):
             await lines.next()
@@ -252,18 +252,18 @@
             return None
         return lines
 
-    def _turned_away(self, job: str, kind: Kind, answer: bytes, ms: float) -> tuple[str, float]:
+    def _turned_away(self, job: str, kind: ClientClass, answer: bytes, ms: float) -> tuple[str, float]:
         word, _, rest = answer.partition(b" ")
         if word == b"BUSY":
-            self._trace.add(What.BUSY, job=job, cls=kind.name, ms=ms)
+            self._trace.add(EventKind.BUSY, job=job, cls=kind.name, ms=ms)
             return "no", float(rest or b"0")
         if word == b"ERR":
-            self._trace.add(What.FAILED, job=job, cls=kind.name, ms=ms)
+            self._trace.add(EventKind.FAILED, job=job, cls=kind.name, ms=ms)
         else:
-            self._trace.add(What.LOST, job=job, cls=kind.name, ms=ms, detail=answer.decode("latin-1"))
+            self._trace.add(EventKind.LOST, job=job, cls=kind.name, ms=ms, detail=answer.decode("latin-1"))
         return "no", 0.0
 
-    async def _stay(self, lines: Connection, kind: Kind, job: str, server: str, life: float) -> str:
+    async def _stay(self, lines: Connection, kind: ClientClass, job: str, server: str, life: float) -> str:
         """A connection that stands: a line each `every` ms, until its life is over or it ends."""
         ended: list[bytes] = []
         sent: list[float] = []
@@ -272,10 +272,10 @@
             async with anyio.create_task_group() as tasks:
 
                 async def hear() -> None:
-                    while (line := await lines.next()) not in (Lines.FIN, Lines.RST, b"MOVE"):
+                    while (line := await lines.next()) not in (LineStream.FIN, LineStream.RST, b"MOVE"):
                         if sent and not line.startswith(b"LOAD "):
                             ms = self._clock.now() - sent.pop(0)
-                            self._trace.add(What.ANSWERED, cls=kind.name, server=server, ms=ms)
+                            self._trace.add(EventKind.ANSWERED, cls=kind.name, server=server, ms=ms)
                     ended.append(line)
                     tasks.cancel_scope.cancel()
 
@@ -284,13 +284,13 @@
                     while True:
                         await self._clock.sleep(kind.every * self._rng.uniform(0.8, 1.2))
                         sent.append(self._clock.now())
-                        if not await lines.say(b"line of " + job.encode()):
+                        if not await lines.send_line(b"line of " + job.encode()):
                             await anyio.sleep_forever()
                 tasks.cancel_scope.cancel()
         finally:
             self.standing -= 1
-        what = What.DONE if not ended else What.MOVED if ended[0] == b"MOVE" else What.CUT
+        what = EventKind.DONE if not ended else EventKind.MOVED if ended[0] == b"MOVE" else EventKind.CUT_OFF
         self._trace.add(what, job=job, cls=kind.name, server=server)
-        if what is What.DONE and self._rng.random() < 0.1:
+        if what is EventKind.DONE and self._rng.random() < 0.1:
             await reset(lines.stream)  # some clients break off
-        return "done" if what is What.DONE else "back"
+        return "done" if what is EventKind.DONE else "back"
--- a/puffinford/standins/discovery.py
+++ b/puffinford/standins/discovery.py
@@ -14,8 +14,8 @@
 from anyio.abc import SocketStream
 
 from puffinford.core.clock import Clock
-from puffinford.standins.listeners import HOST, Port, reset
-from puffinford.standins.trace import Trace, What
+from puffinford.standins.listeners import HOST, ListeningPort, reset
+from puffinford.standins.trace import EventKind, Trace
 
 MODES = ("sound", "absent", "hung", "late", "unavailable", "garbage", "reset", "older")
 LATE = 3_000.0  # ms that a late answer takes
@@ -31,7 +31,7 @@
 
 
 @dataclass
-class Registry:
+class EntryRegistry:
     """The entries with the version that last changed each. `left` ones stay for the watches."""
 
     version: int = 0
@@ -56,7 +56,7 @@
         return {"version": self.version, "full": whole, "servers": chosen}
 
 
-def read_twist(text: str) -> tuple[str, float]:
+def parse_twist(text: str) -> tuple[str, float]:
     """One balancer's twist and its figure in ms; raises ValueError."""
     word, _, figure = text.partition(" ")
     if word not in TWISTS or bool(figure) != (word == "late"):
@@ -79,11 +79,11 @@
 
 
 class Discovery:
-    """The service. `registry` is changed through `put`, and told after `lag` ms; `mode` is one of MODES."""
+    """The service. `registry` is changed through `put`, told after `lag_ms` ms; `mode` is one of MODES."""
 
-    def __init__(self, clock: Clock, trace: Trace, tasks: anyio.abc.TaskGroup, lag: float = 0.0) -> None:
-        self.registry = Registry()
-        self.lag = lag
+    def __init__(self, clock: Clock, trace: Trace, tasks: anyio.abc.TaskGroup, lag_ms: float = 0.0) -> None:
+        self.registry = EntryRegistry()
+        self.lag_ms = lag_ms
         self.mode = "absent"
         self.calls = 0
         self.sent = 0  # bytes of the lists that were written
@@ -92,8 +92,8 @@
         self._tasks = tasks
         self._news = anyio.Event()
         self._one = anyio.Lock()  # it answers one call at a time
-        self._port = Port(self._play, tasks)
-        self._views: list[Port] = []
+        self._port = ListeningPort(self._play, tasks)
+        self._views: list[ListeningPort] = []
         self._twists: dict[str, tuple[str, float]] = {}  # of balancers that are told lists of their own
 
     @property
@@ -107,7 +107,7 @@
         async def play(stream: SocketStream) -> None:
             await self._play(stream, by, where)
 
-        port = Port(play, self._tasks)
+        port = ListeningPort(play, self._tasks)
         self._views.append(port)
         if self.mode != "absent":
             port.open()
@@ -128,7 +128,7 @@
 
     def twist(self, by: str, how: str) -> None:
         """Tell one balancer, which has a view, its lists another way from now on: see TWISTS."""
-        self._twists[by] = read_twist(how)
+        self._twists[by] = parse_twist(how)
         self.registry.version += 1  # guards the change against a watch that hears of no news
         self._tell()
 
@@ -137,8 +137,8 @@
         self._tasks.start_soon(self._later, lambda: self.registry.put(ident, **more))
 
     async def _later(self, change: Callable[[], None]) -> None:
-        if self.lag:
-            await self._clock.sleep(self.lag)
+        if self.lag_ms:
+            await self._clock.sleep(self.lag_ms)
         change()
         self._tell()
 
@@ -212,4 +212,4 @@
         self.sent += len(body)
         for entry in [*told["servers"], *missing]:
             started = float(entry["started_ms"])
-            self._trace.add(What.TOLD, server=entry["id"], detail=entry["state"], by=by, ms=started)
+            self._trace.add(EventKind.LISTED, server=entry["id"], detail=entry["state"], by=by, ms=started)
--- a/puffinford/standins/fleet.py
+++ b/puffinford/standins/fleet.py
@@ -34,11 +34,11 @@
     Timer,
 )
 
-CARRIES = 70.0  # connections that the settings tell for each server
+SIMULATED_WARM_CAPACITY = 70.0  # connections that the settings tell for each server
 
 
 @dataclass(slots=True)
-class Open:
+class OpenConnection:
     """A connection that stands."""
 
     balancer: int
@@ -59,19 +59,19 @@
         on_request: bool = False,
         sizes: tuple[float, ...] = (1.0,),
         quotas: bool = True,
-        carries: float = CARRIES,
+        warm_capacity: float = SIMULATED_WARM_CAPACITY,
     ) -> None:
-        """Servers have `sizes` in turn, and `quotas` tell `carries` for each; without, nothing tells it."""
+        """Servers have `sizes` in turn; `quotas` tell `warm_capacity` for each; without, nothing tells it."""
         self.now = 1_000_000.0
         self.rng = random.Random(seed)
         self.servers = [Server(f"s-{seed}-{n}", weight=sizes[n % len(sizes)]) for n in range(servers)]
         self.sends: list[tuple[float, int, str]] = []  # time in ms, balancer, server
         self.calls: list[float] = []  # when lists were asked for
-        self.standing: dict[str, Open] = {}
+        self.standing: dict[str, OpenConnection] = {}
         self.refused = 0
-        self.claims = 0
+        self.attempts = 0
         self.dead: set[str] = set()
-        self.sick: dict[str, float] = {}  # servers that drop each connection so many ms after it stands
+        self.dropping: dict[str, float] = {}  # servers that drop each connection so many ms after it stands
         self._drops: list[tuple[float, int, str, str]] = []  # when, balancer, request, server
         self.cpu = 0.0  # seconds that the modules took ...
         self.events = 0  # ... for so many events
@@ -80,7 +80,7 @@
         self.settings = [
             Settings(
                 classes=[RequestClass("safe", 2_000.0, 300.0, message_aim=60.0)],
-                tenants=[Tenant("all", 1.0, quota=carries * servers)] if quotas else [],
+                tenants=[Tenant("all", 1.0, quota=warm_capacity * servers)] if quotas else [],
                 sized=len(sizes) > 1,
                 me=me,
                 balancers=balancers,
@@ -150,7 +150,7 @@
         self.balancers[me] = Balancer(self.settings[me], self._count)
         self.handle(me, ServerList(ListKind.RESTORED, known))
 
-    def lose(self, servers: set[str]) -> int:
+    def fail_servers(self, servers: set[str]) -> int:
         """Servers die with what stands there; tells how many clients were cut off."""
         self.dead |= servers
         cut = [ident for ident, held in self.standing.items() if held.server in servers]
@@ -187,13 +187,15 @@
             if sent is None:
                 self.refused += any(isinstance(action, Refuse) for action in actions)
                 return None
-            self.claims += 1
+            self.attempts += 1
             if sent.server not in self.dead:
                 self.sends.append((self.now, me, sent.server))
-                self.standing[ident] = Open(me, sent.server, group, number)
+                self.standing[ident] = OpenConnection(me, sent.server, group, number)
                 self.handle(me, Established(ident, number, sent.server, 5.0))
-                if sent.server in self.sick:
-                    heapq.heappush(self._drops, (self.now + self.sick[sent.server], me, ident, sent.server))
+                if sent.server in self.dropping:
+                    heapq.heappush(
+                        self._drops, (self.now + self.dropping[sent.server], me, ident, sent.server)
+                    )
                 return ident
             actions = self.handle(me, Outcome(ident, number, sent.server, Result.CONNECT_FAILED, 0.0))
         return None
@@ -218,11 +220,11 @@
         return len({(held.server, held.group) for held in self.standing.values()})
 
 
-def renew(servers: list[Server], at: float) -> list[Server]:
+def restarted(servers: list[Server], at: float) -> list[Server]:
     """The same servers as a list tells them after a start at that time, in ms."""
     return [Server(server.id, started=at, weight=server.weight) for server in servers]
 
 
-def gone(servers: list[Server]) -> list[Server]:
+def removed(servers: list[Server]) -> list[Server]:
     """The same servers as a list tells their end."""
     return [Server(server.id, state=ServerState.GONE) for server in servers]
--- a/puffinford/standins/holding.py
+++ b/puffinford/standins/holding.py
@@ -13,7 +13,7 @@
 from puffinford.fronts.channels import codec
 from puffinford.fronts.channels.opening import encode_opening
 from puffinford.fronts.sockets import LineReader
-from puffinford.standins.listeners import Lines
+from puffinford.standins.listeners import LineStream
 
 STATES = ("fresh", "rested", "half", "standing")  # how far a connection has come before SIGTERM
 HALF = 20  # bytes of a request that is written by half
@@ -30,7 +30,7 @@
     async def next(self) -> bytes:
         """The next line without its end; FIN or RST where the connection ends."""
 
-    async def say(self, line: bytes) -> bool:
+    async def send_line(self, line: bytes) -> bool:
         """Write a line; tells whether that could be done."""
 
 
@@ -39,7 +39,7 @@
 
     def __init__(self, stream: SocketStream) -> None:
         self.stream = stream
-        self._packets = codec.Packets(banner=True)
+        self._packets = codec.PacketReader(banner=True)
         self._reader = LineReader()
         self._remote = 0
         self._answered = False
@@ -60,18 +60,18 @@
         match message:
             case codec.OpenConfirmation(sender=sender, extra=extra):
                 self._remote, self._answered = sender, True
-                return b"UP " + codec.Reader(extra).string()
+                return b"UP " + codec.PayloadReader(extra).string()
             case codec.OpenFailure(reason=reason, description=text):
                 self._answered = True
                 busy = reason == codec.RESOURCE_SHORTAGE
                 return f"BUSY {text.rpartition('=')[2]}".encode() if busy else b"ERR"
             case codec.Disconnect():
                 answered, self._answered = self._answered, True
-                return Lines.FIN if answered else b"BUSY"
+                return LineStream.FIN if answered else b"BUSY"
             case codec.ChannelRequest(name=codec.MOVE):
                 return b"MOVE"
             case codec.Eof() | codec.Close():
-                return Lines.FIN
+                return LineStream.FIN
             case codec.Data(data=data):
                 self._reader.feed(data)
         return b""
@@ -81,12 +81,12 @@
             try:
                 self._packets.feed(await self.stream.receive())
             except anyio.EndOfStream:
-                return Lines.FIN
+                return LineStream.FIN
             except (anyio.BrokenResourceError, anyio.ClosedResourceError):
-                return Lines.RST
+                return LineStream.RST
         return codec.decode(payload)
 
-    async def say(self, line: bytes) -> bool:
+    async def send_line(self, line: bytes) -> bool:
         """Write a line; tells whether that could be done."""
         return await send(self.stream, codec.encode(codec.Data(self._remote, line + b"\r\n")))
 
@@ -131,8 +131,8 @@
     """Of a channel connection, for the same request; `wait` is the client's time in ms."""
     _, job, key, figures = opening.decode("latin-1").split(" ")
     told = tuple((name, value) for name, _, value in (part.partition("=") for part in figures.split(",")))
-    extra = encode_opening(Opening.from_figures(job, key, told), wait)
-    message = codec.encode(codec.ChannelOpen(codec.JOB, CHANNEL, WINDOW, PACKET, extra))
+    extra = encode_opening(Opening.from_parameters(job, key, told), wait)
+    message = codec.encode(codec.ChannelOpen(codec.REQUEST_CHANNEL, CHANNEL, WINDOW, PACKET, extra))
     version = codec.VERSION.encode() + b"\r\n"
     if state == "fresh":
         return Script(b"", version + message)
--- a/puffinford/standins/listeners.py
+++ b/puffinford/standins/listeners.py
@@ -23,7 +23,7 @@
     await anyio.aclose_forcefully(stream)
 
 
-class Lines:
+class LineStream:
     """Lines of a stream, with the two ways in which it can end."""
 
     FIN, RST = b"FIN", b"RST"
@@ -44,7 +44,7 @@
         line, _, self._rest = self._rest.partition(b"\n")
         return line.rstrip(b"\r")
 
-    async def say(self, line: bytes) -> bool:
+    async def send_line(self, line: bytes) -> bool:
         """Write a line; tells whether that could be done."""
         try:
             await self.stream.send(line + b"\r\n")
@@ -53,7 +53,7 @@
         return True
 
 
-class Port:
+class ListeningPort:
     """A port of its own on loopback, for as long as `tasks` run. It starts closed, and so refuses."""
 
     def __init__(self, play: Play, tasks: anyio.abc.TaskGroup) -> None:
@@ -93,7 +93,7 @@
         self._held.close()
         self._held = self._bound(self.number)
 
-    def vanish(self) -> None:
+    def drop_packets(self) -> None:
         """Neither take connections nor refuse them: they never come up."""
         self.close()
         self._held.listen(0)
--- a/puffinford/standins/lists.py
+++ b/puffinford/standins/lists.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from puffinford.standins.discovery import CALL, Registry
+from puffinford.standins.discovery import CALL, EntryRegistry
 from puffinford.standins.listeners import HOST
 
 BACKLOG = 4_096
@@ -35,7 +35,7 @@
     """The list, its watches and the queue of calls. `open` gives a port to each group of callers."""
 
     service_ms: float = 0.0
-    registry: Registry = field(default_factory=Registry)
+    registry: EntryRegistry = field(default_factory=EntryRegistry)
     counts: dict[str, CallCounts] = field(default_factory=dict)
     calls_by_second: Counter[int] = field(default_factory=Counter)
     queue_most: int = 0
--- a/puffinford/standins/servers.py
+++ b/puffinford/standins/servers.py
@@ -10,20 +10,20 @@
 from anyio.abc import SocketStream
 
 from puffinford.core.clock import Clock
-from puffinford.standins.listeners import HOST, Lines, Port, reset
-from puffinford.standins.trace import Trace, What
+from puffinford.standins.listeners import HOST, LineStream, ListeningPort, reset
+from puffinford.standins.trace import EventKind, Trace
 
-NOTE_EVERY = 1_000.0  # ms between notes of slow messages
+LOAD_REPORT_INTERVAL_MS = 1_000.0  # ms between notes of slow messages
 STATES = (
     "sound", "refusing", "unreachable", "silent", "resetting",
     "dropping", "busy", "failing", "draining", "slow",
 )  # fmt: skip
 DROPPED_AFTER = 50.0  # ms that a connection stands at a server that drops
-WORKING = ("sound", "slow", "cold")  # states in which it takes clients, as the trace names them
+SERVING_STATES = ("sound", "slow", "cold")  # states in which it takes clients, as the trace names them
 
 
 @dataclass(frozen=True)
-class Make:
+class ServerProfile:
     """What a server can do. Times in ms."""
 
     set_up: float = 5.0  # from an opening to its UP
@@ -43,7 +43,7 @@
     def __init__(
         self,
         ident: str,
-        make: Make,
+        make: ServerProfile,
         clock: Clock,
         trace: Trace,
         rng: random.Random,
@@ -60,7 +60,7 @@
         self._tasks = tasks
         self._claims = 0
         self._jobs: set[str] = set()  # whose connections stand here
-        self._port = Port(self._play, tasks)
+        self._port = ListeningPort(self._play, tasks)
         self._changed = anyio.Event()
 
     @property
@@ -76,10 +76,10 @@
         if state == "refusing":
             self._port.close()
         elif state == "unreachable":
-            self._port.vanish()
+            self._port.drop_packets()
         elif was in ("refusing", "unreachable"):
             self._port.open()
-        self._trace.add(What.STATE, server=self.id, detail=state)
+        self._trace.add(EventKind.STATE, server=self.id, detail=state)
         self._changed.set()
         self._changed = anyio.Event()
 
@@ -88,17 +88,17 @@
         self.started = self._clock.now() if cold else 0.0
         self.become("sound")
         if cold:
-            self._trace.add(What.STATE, server=self.id, detail="cold")
+            self._trace.add(EventKind.STATE, server=self.id, detail="cold")
 
     async def crash(self) -> None:
         """Die: what stands is reset, and new connections are refused."""
         self.become("refusing")
         for job in self._jobs:
-            self._trace.add(What.BROKEN, job=job, server=self.id)
+            self._trace.add(EventKind.BROKEN, job=job, server=self.id)
         self._jobs.clear()
         await self._port.break_all()
 
-    def ability(self) -> float:
+    def capacity_share(self) -> float:
         """The part of its capacity that it has now."""
         if not self.started or not self.make.warm_ms:
             return 1.0
@@ -107,53 +107,53 @@
 
     def delay(self) -> float:
         """How long a message takes now, in ms: longer the more it holds past `crowded`."""
-        room = max(1.0, self.make.capacity * self.ability())
+        room = max(1.0, self.make.capacity * self.capacity_share())
         over = max(0.0, self.standing / room - self.make.crowded)
         return self.make.message * (1.0 + 10.0 * over) * (self.make.slow_by if self.state == "slow" else 1.0)
 
     async def _play(self, stream: SocketStream) -> None:
-        lines = Lines(stream)
+        lines = LineStream(stream)
         first = await lines.next()
         words = first.decode("latin-1").split(" ")
         if words[0] == "PING":
             if self.state not in ("silent", "unreachable"):
-                await lines.say(b"PONG")
+                await lines.send_line(b"PONG")
             return
         if words[0] != "OPEN" or len(words) != 4:
             return
         self._claims += 1
         claim, job = f"{self.id}-{self._claims}", words[1]
-        self._trace.add(What.CLAIM, job=job, server=self.id, detail=claim)
+        self._trace.add(EventKind.ATTEMPT, job=job, server=self.id, detail=claim)
         try:
             await self._open(stream, lines, claim, job)
         finally:
-            self._trace.add(What.CLAIM_END, job=job, server=self.id, detail=claim)
+            self._trace.add(EventKind.ATTEMPT_END, job=job, server=self.id, detail=claim)
 
-    async def _open(self, stream: SocketStream, lines: Lines, claim: str, job: str) -> None:
-        full = self.standing >= self.make.capacity * self.ability()
-        if not (self.state in ("busy", "draining") or (full and self.state in WORKING)):
-            self._trace.add(What.RAN, job=job, server=self.id, detail=claim)
+    async def _open(self, stream: SocketStream, lines: LineStream, claim: str, job: str) -> None:
+        full = self.standing >= self.make.capacity * self.capacity_share()
+        if not (self.state in ("busy", "draining") or (full and self.state in SERVING_STATES)):
+            self._trace.add(EventKind.EXECUTED, job=job, server=self.id, detail=claim)
         if self.state == "silent":
             await lines.next()  # until the balancer gives it up
             return
         if self.state == "resetting":
             return await reset(stream)
         if self.state == "failing":
-            await lines.say(b"ERR")
+            await lines.send_line(b"ERR")
             return
-        if self.state in ("busy", "draining") or self.standing >= self.make.capacity * self.ability():
-            await lines.say(b"BUSY")
+        if self.state in ("busy", "draining") or self.standing >= self.make.capacity * self.capacity_share():
+            await lines.send_line(b"BUSY")
             return
         slow = self.make.slow_by if self.state == "slow" else 1.0
         await self._clock.sleep(self.make.set_up * slow * self._rng.uniform(0.5, 1.5))
         self._jobs.add(job)  # it may crash before the next turn, with UP on its way
         try:
-            if await lines.say(f"UP r-{claim}".encode()):
+            if await lines.send_line(f"UP r-{claim}".encode()):
                 await self._serve(stream, lines, job)
         finally:
             self._jobs.discard(job)
 
-    async def _serve(self, stream: SocketStream, lines: Lines, job: str) -> None:
+    async def _serve(self, stream: SocketStream, lines: LineStream, job: str) -> None:
         """A connection from its UP to its end."""
         self.standing += 1
         try:
@@ -164,33 +164,33 @@
         finally:
             self.standing -= 1
 
-    async def _drop(self, stream: SocketStream, lines: Lines, job: str) -> None:
+    async def _drop(self, stream: SocketStream, lines: LineStream, job: str) -> None:
         """Reset a connection a moment after its UP, unless its other side ends it first."""
         with self._clock.limit(DROPPED_AFTER):
-            while await lines.next() not in (Lines.FIN, Lines.RST):
+            while await lines.next() not in (LineStream.FIN, LineStream.RST):
                 pass
             return
-        self._trace.add(What.BROKEN, job=job, server=self.id)
+        self._trace.add(EventKind.BROKEN, job=job, server=self.id)
         await reset(stream)
 
-    async def _stand(self, stream: SocketStream, lines: Lines) -> None:
+    async def _stand(self, stream: SocketStream, lines: LineStream) -> None:
         noted = 0.0
         moving = False
         while True:
             line = await lines.next()
-            if line in (Lines.FIN, Lines.RST):
+            if line in (LineStream.FIN, LineStream.RST):
                 return
             while self.state == "silent":
                 await self._changed.wait()
             if self.state == "draining" and not moving:
                 moving = True
-                await lines.say(b"MOVE")
+                await lines.send_line(b"MOVE")
                 return
             delay = self.delay()
             await self._clock.sleep(delay)
             now = self._clock.now()
-            if self.state == "slow" and now >= noted + NOTE_EVERY:
+            if self.state == "slow" and now >= noted + LOAD_REPORT_INTERVAL_MS:
                 noted = now
-                await lines.say(f"LOAD {delay:.1f}".encode())
-            if not await lines.say(line):
+                await lines.send_line(f"LOAD {delay:.1f}".encode())
+            if not await lines.send_line(line):
                 return
--- a/puffinford/standins/trace.py
+++ b/puffinford/standins/trace.py
@@ -8,39 +8,39 @@
 from enum import Enum
 
 
-class What(Enum):
+class EventKind(Enum):
     """A thing seen. `job` and `server` of the entry say of whom."""
 
-    ASKED = "asked"  # a client has sent its opening
+    REQUESTED = "asked"  # a client has sent its opening
     UP = "up"  # ... and stands
     BUSY = "busy"  # ... or was turned away
     FAILED = "failed"  # ... or got any other answer
     LOST = "lost"  # ... or none: the connection ended first, or its time was up
     MOVED = "moved"  # a standing client was sent away in order
-    CUT = "cut"  # ... or its connection ended without a word
+    CUT_OFF = "cut"  # ... or its connection ended without a word
     ANSWERED = "answered"  # a line of a standing client came back
     DONE = "done"  # ... or it ended it itself
-    CLAIM = "claim"  # an opening has come to a server
-    RAN = "ran"  # ... and may have had its effect: the server did anything but turn it away
-    CLAIM_END = "claim end"  # its connection has ended
+    ATTEMPT = "claim"  # an opening has come to a server
+    EXECUTED = "ran"  # ... and may have had its effect: the server did anything but turn it away
+    ATTEMPT_END = "claim end"  # its connection has ended
     BROKEN = "broken"  # a server resets a connection that stands at it: the cut that follows is its own
-    TOLD = "told"  # discovery wrote an answer that says of a server: see `detail`
+    LISTED = "told"  # discovery wrote an answer that says of a server: see `detail`
     FAULT = "fault"  # a fault begins or ends at a link or process: see `by` and `detail`
     STATE = "state"  # a server has changed what it does: see `detail`
 
 
 KILLED = "killed"  # detail of a FAULT: a balancer that was told to end ran on until then
-CROWD = "crowd"  # first word of the detail of a FAULT: idle clients come to a balancer
-OVER = "wake"  # detail of a FAULT: that of a balancer is over
-ANSWERS = (What.UP, What.BUSY, What.FAILED, What.LOST)
+CROWD_ARRIVES = "crowd"  # first word of the detail of a FAULT: idle clients come to a balancer
+FAULT_OVER = "wake"  # detail of a FAULT: that of a balancer is over
+ANSWERS = (EventKind.UP, EventKind.BUSY, EventKind.FAILED, EventKind.LOST)
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class TraceEvent:
     """One thing at one time, in ms since the trace began."""
 
     at: float
-    what: What
+    what: EventKind
     job: str = ""
     server: str = ""
     cls: str = ""
@@ -55,9 +55,9 @@
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
         self._began = now()
-        self.entries: list[Entry] = []
-        self.began_serving = 0.0  # ms: when the first client could come
-        self.ended_serving = 0.0  # ms: when the last had come
+        self.entries: list[TraceEvent] = []
+        self.serving_started_at = 0.0  # ms: when the first client could come
+        self.serving_ended_at = 0.0  # ms: when the last had come
         self._through: dict[str, str] = {}  # the balancer that each job went to, where its client says
 
     @property
@@ -65,19 +65,21 @@
         """Ms since the trace began."""
         return self._now() - self._began
 
-    def add(self, what: What, **more: object) -> None:
+    def add(self, what: EventKind, **more: object) -> None:
         """See a thing now."""
-        entry = Entry(self.elapsed, what, **more)  # type: ignore[arg-type]
-        if what is What.ASKED:
+        entry = TraceEvent(self.elapsed, what, **more)  # type: ignore[arg-type]
+        if what is EventKind.REQUESTED:
             self._through[entry.job] = entry.by
-        elif what in (What.CLAIM, What.RAN, What.CLAIM_END) and not entry.by:
+        elif what in (EventKind.ATTEMPT, EventKind.EXECUTED, EventKind.ATTEMPT_END) and not entry.by:
             entry = replace(entry, by=self._through.get(entry.job, ""))
         self.entries.append(entry)
 
-    def of(self, *whats: What) -> Iterator[Entry]:
+    def of(self, *whats: EventKind) -> Iterator[TraceEvent]:
         """The entries of these kinds."""
         return (entry for entry in self.entries if entry.what in whats)
 
-    def count(self, what: What, by: Callable[[Entry], str] = lambda entry: entry.cls) -> Counter[str]:
+    def count(
+        self, what: EventKind, by: Callable[[TraceEvent], str] = lambda entry: entry.cls
+    ) -> Counter[str]:
         """How often a thing was seen, by class or by whatever `by` names."""
         return Counter(by(entry) for entry in self.of(what))
--- a/puffinford/start.py
+++ b/puffinford/start.py
@@ -13,10 +13,10 @@
 from puffinford import logs
 from puffinford.config import BadConfig, load
 from puffinford.core.clock import Clock
-from puffinford.core.starts import StartTimes
-from puffinford.machines.inventory import BadInventory
+from puffinford.core.start_times import StartTimes
 from puffinford.operators import DEFAULT_FILE
 from puffinford.serve import serve
+from puffinford.server_list.inventory import BadInventory
 
 
 def serve_program(
--- a/puffinford/state/keeper.py
+++ b/puffinford/state/keeper.py
@@ -15,9 +15,9 @@
 from anyio import to_thread
 
 from puffinford.core.clock import Clock
-from puffinford.core.places import state_path
-from puffinford.core.starts import StartTimes
-from puffinford.core.values import Machine, MachineList
+from puffinford.core.start_times import StartTimes
+from puffinford.core.state_path import state_path
+from puffinford.core.values import ServerEntries, ServerEntry
 from puffinford.interface import Health, ServerState
 from puffinford.operators.schema import StateSettings
 from puffinford.state import recovery, trust
@@ -131,7 +131,7 @@
 
     # The start
 
-    def start(self, known: MachineList | None) -> recovery.Start:
+    def start(self, known: ServerEntries | None) -> recovery.Start:
         """What to go by until discovery speaks."""
         stored: Stored | None = None
         if self._store is not None:
@@ -163,10 +163,10 @@
             "restored",
             extra={
                 "source": begun.source,
-                "entries": len(restored.machines.machines),
+                "entries": len(restored.entries.entries),
                 "age_s": round(begun.age / 1_000.0, 1),
-                "at_once": restored.most or "any",
-                "patience_ms": round(restored.patience),
+                "at_once": restored.max_attempts or "any",
+                "patience_ms": round(restored.attempt_timeout),
                 "learned": len(restored.health),
             },
         )
@@ -204,24 +204,24 @@
         for ident, (health, confirmed) in stored.health.items():
             self._health[ident] = recovery.to_health(health, confirmed, self._offset)
 
-    def _restore_starts(self, known: MachineList | None) -> MachineList | None:
+    def _restore_starts(self, known: ServerEntries | None) -> ServerEntries | None:
         """The known list, with the starts that an earlier process has mapped.
 
         Guards a server's age against a wall clock that was stepped between two processes.
         """
-        machines = known.machines if known is not None else []
-        told = [self._starts.told(machine.server.id, machine.server.started) for machine in machines]
+        machines = known.entries if known is not None else []
+        told = [self._starts.announced_time(entry.server.id, entry.server.started) for entry in machines]
         for ident, record in self._servers.items():
             if record.told and record.started:
                 self._starts.restore(ident, record.told, record.started - self._offset)
         if known is None:
             return None
         mapped = [
-            replace(machine, server=replace(server, started=self._starts.of(server.id, unix_ms)))
-            for machine, unix_ms in zip(machines, told, strict=True)
-            if (server := machine.server)
+            replace(entry, server=replace(server, started=self._starts.local_time(server.id, unix_ms)))
+            for entry, unix_ms in zip(machines, told, strict=True)
+            if (server := entry.server)
         ]
-        return MachineList(known.version, known.full, mapped)
+        return ServerEntries(known.version, known.full, mapped)
 
     def _note_start(self, begun: recovery.Start) -> None:
         """Keep what the start goes by.
@@ -230,16 +230,16 @@
         rest would be in no store.
         """
         confirmed = self._timeline.now() - begun.age
-        for machine in begun.restored.machines.machines:
-            ident = machine.server.id
+        for entry in begun.restored.entries.entries:
+            ident = entry.server.id
             held = self._servers.get(ident)
             version = held.version if held is not None else begun.version or 0
-            record = self._record(machine, version)
+            record = self._record(entry, version)
             if held is None or not _same(record, held):
                 self._servers[ident] = record
                 self._left.pop(ident, None)
                 self._due[server_key(ident)] = encode(server_key(ident), record, confirmed)
-        named = {machine.server.id for machine in begun.restored.machines.machines}
+        named = {entry.server.id for entry in begun.restored.entries.entries}
         for ident, record in list(self._servers.items()):
             if ident not in named and record.state != "left":
                 self._note_left(ident, record, begun.version or 0, confirmed)
@@ -287,7 +287,7 @@
 
     # What changes
 
-    def note_list(self, machines: MachineList) -> None:
+    def note_list(self, machines: ServerEntries) -> None:
         """A list that the exchange took: it is confirmed as of now, and what it changes will be written."""
         if self._store is None:
             return
@@ -295,9 +295,9 @@
         self._confirmed = now
         urgent = False
         named = set()
-        for machine in machines.machines:
-            named.add(machine.server.id)
-            urgent |= self._note(machine, machines.version, now)
+        for entry in machines.entries:
+            named.add(entry.server.id)
+            urgent |= self._note(entry, machines.version, now)
         if machines.full:
             for ident, record in list(self._servers.items()):
                 if ident not in named and record.state != "left":
@@ -312,25 +312,25 @@
             # Guards the rule on drains across a crash: the next start must know of it.
             self._urgent.set()
 
-    def _record(self, machine: Machine, version: int) -> ServerRecord:
+    def _record(self, entry: ServerEntry, version: int) -> ServerRecord:
         """A machine as it is kept."""
-        server = machine.server
+        server = entry.server
         return recovery.to_record(
-            machine, version, self._offset, self._starts.told(server.id, server.started)
+            entry, version, self._offset, self._starts.announced_time(server.id, server.started)
         )
 
     def _list_record(self, version: int, entries: int) -> ListRecord:
         return ListRecord(version, entries, self._timeline.boot, self._timeline.ahead)
 
-    def _note(self, machine: Machine, version: int, now: float) -> bool:
+    def _note(self, entry: ServerEntry, version: int, now: float) -> bool:
         """Take in an entry; tells whether it is bad news."""
-        ident, state = machine.server.id, machine.server.state
+        ident, state = entry.server.id, entry.server.state
         held = self._servers.get(ident)
         if state is ServerState.GONE:
             if held is not None and held.state == "left":
                 return False
-            return self._note_left(ident, held or self._record(machine, version), version, now)
-        record = self._record(machine, version)
+            return self._note_left(ident, held or self._record(entry, version), version, now)
+        record = self._record(entry, version)
         if held is not None and _same(record, held):
             return False
         self._servers[ident] = record
@@ -360,7 +360,11 @@
         told = {health.server: health for health in self._learned() if health.server in self._servers}
         for ident, health in told.items():
             held = self._health.get(ident)
-            if held is None or not _alike(held, health) or health.told_at - held.told_at > CONFIRM_EVERY:
+            if (
+                held is None
+                or not _alike(held, health)
+                or health.observed_at - held.observed_at > CONFIRM_EVERY
+            ):
                 self._health[ident] = health
                 key = health_key(ident)
                 self._due[key] = encode(key, recovery.to_health_record(health, offset), now)
@@ -513,6 +517,6 @@
         one.failures == other.failures
         and abs(one.retry_at - other.retry_at) < 1.0
         and one.slow_until == other.slow_until
-        and one.room == other.room
-        and one.cold_from == other.cold_from
+        and one.capacity_estimate == other.capacity_estimate
+        and one.cold_since == other.cold_since
     )
--- a/puffinford/state/list_client.py
+++ b/puffinford/state/list_client.py
@@ -12,10 +12,10 @@
 from typing import Protocol
 
 from puffinford.core.clock import Clock
-from puffinford.core.starts import StartTimes
-from puffinford.core.values import MachineList, Restored
-from puffinford.machines.discovery import DiscoveryWatch
-from puffinford.machines.inventory import InventoryFile
+from puffinford.core.start_times import StartTimes
+from puffinford.core.values import RestoredState, ServerEntries
+from puffinford.server_list.discovery import DiscoveryWatch
+from puffinford.server_list.inventory import InventoryFile
 from puffinford.state.recovery import ListGuard, Start
 
 log = logging.getLogger(__name__)
@@ -27,7 +27,7 @@
 class ListTaker(Protocol):
     """What goes by the lists: the exchange."""
 
-    def take_list(self, machines: MachineList | None) -> None:
+    def take_list(self, machines: ServerEntries | None) -> None:
         """A list has come, or (None) a call for one has failed."""
 
 
@@ -42,7 +42,7 @@
         exchange: ListTaker,
         start: Start,
         clock: Clock,
-        note: Callable[[MachineList], None],
+        note: Callable[[ServerEntries], None],
         starts: StartTimes | None = None,
     ) -> None:
         """`start` is what there is to go by before the source has spoken; `note` hears each list that was
@@ -50,29 +50,29 @@
         `starts` is shared with whatever else in this process reads lists.
         """
         self._starts = starts or StartTimes(clock)
-        self.restored: Restored = start.restored
+        self.restored: RestoredState = start.restored
         self.source: ListSource
         self._exchange = exchange
         self._version = start.version
         self._clock = clock
         self._note = note
-        self._guard = ListGuard(start.version, start.restored.machines.machines)
+        self._guard = ListGuard(start.version, start.restored.entries.entries)
 
     def watch(
         self,
         discovery: tuple[str, int],
         *,
-        unprompted: bool,
+        always_subscribed: bool,
         seed: int,
         relays: Sequence[tuple[str, int]] = (),
     ) -> None:
-        """Take lists from discovery; `unprompted` where changes count as told without being asked for.
+        """Take lists from discovery; `always_subscribed` where changes count as told without being asked for.
 
         `relays` are asked in its place, the preferred one first.
         """
         rng = random.Random(seed ^ _WATCH_SEED)
         self.source = DiscoveryWatch(
-            discovery, self._version, self._clock, self._take, unprompted, rng, relays, self._starts
+            discovery, self._version, self._clock, self._take, always_subscribed, rng, relays, self._starts
         )
 
     def read(self, inventory: Path) -> None:
@@ -80,14 +80,14 @@
         self.source = InventoryFile(inventory, self._clock, self._take, self._starts)
         self.source.check()
 
-    def move(self, discovery: tuple[str, int], *, changed: bool) -> None:
+    def change_address(self, discovery: tuple[str, int], *, changed: bool) -> None:
         """Discovery answers there from now on; `changed` where that is another address than before."""
         if isinstance(self.source, DiscoveryWatch):
-            if changed and not self.source.relayed:
+            if changed and not self.source.uses_relays:
                 self._guard.moved()
-            self.source.move(discovery)
+            self.source.change_address(discovery)
 
-    def _take(self, machines: MachineList | None) -> int | None:
+    def _take(self, machines: ServerEntries | None) -> int | None:
         """An answer of the list's source, or None for none; the version that the next call goes on from."""
         if machines is None:
             self._exchange.take_list(None)
@@ -97,7 +97,7 @@
         taken = self._guard.judge(machines)
         if taken.note:
             log.warning("discovery doubted", extra={"why": taken.note})
-        if taken.machines is not None:
-            self._exchange.take_list(taken.machines)
-            self._note(taken.machines)
+        if taken.entries is not None:
+            self._exchange.take_list(taken.entries)
+            self._note(taken.entries)
         return taken.version
--- a/puffinford/state/records.py
+++ b/puffinford/state/records.py
@@ -73,13 +73,13 @@
     id: Text
     failures: Annotated[int, msgspec.Meta(ge=0)] = 0
     retry_at: Time = 0.0
-    away_at: Time = 0.0
+    unreachable_since: Time = 0.0
     slow_until: Time = 0.0
-    late_at: Time = 0.0
+    late_report_at: Time = 0.0
     delay: Time = 0.0
-    room: float = -1.0  # negative: not known
-    room_at: Time = 0.0
-    cold_from: Time = 0.0
+    capacity_estimate: float = -1.0  # negative: not known
+    capacity_estimated_at: Time = 0.0
+    cold_since: Time = 0.0
 
 
 class PaceRecord(msgspec.Struct, frozen=True, array_like=True):
