--- a/tests/test_stage.py
+++ b/tests/test_stage.py
@@ -12,7 +12,7 @@
 import pytest
 
 from puffinford.cli import main
-from puffinford.cli.stage import STORIES
+from puffinford.cli.stage import STORIES_DIRECTORY
 from puffinford.stage.play import Failed, Play
 from puffinford.stage.relays import RelayEnded, relays
 from puffinford.stage.report import Report, latencies, spans
@@ -20,10 +20,10 @@
 from puffinford.stage.spread import Second, chance, evenness, idle, loads, refused_with_room
 from puffinford.standins import checks
 from puffinford.standins.discovery import Discovery
-from puffinford.standins.listeners import HOST, Lines
-from puffinford.standins.servers import Make
-from puffinford.standins.trace import Trace, What
-from tests.stage import Peer, call, stage, traced
+from puffinford.standins.listeners import HOST, LineStream
+from puffinford.standins.servers import ServerProfile
+from puffinford.standins.trace import EventKind, Trace
+from tests.harness import Peer, harness, http_call, trace_of
 
 SMALL: dict[str, Any] = {"balancers": 3, "zones": 3, "servers": {"gw": {"count": 3}}}
 
@@ -61,7 +61,7 @@
 
 
 def test_every_story_that_comes_with_the_program_can_be_read_at_any_size() -> None:
-    names = {path.stem for path in STORIES.glob("*.yaml")}
+    names = {path.stem for path in STORIES_DIRECTORY.glob("*.yaml")}
     assert names >= {
         "calm",
         "busy",
@@ -75,7 +75,7 @@
         "lists",
         "two",
     }
-    for path in STORIES.glob("*.yaml"):
+    for path in STORIES_DIRECTORY.glob("*.yaml"):
         small, large = read_script(path), read_script(path, balancers=200, rate=300.0)
         assert [event.do for event in small.events] == [event.do for event in large.events]
         assert path.read_text().startswith("# ")
@@ -104,7 +104,7 @@
 
 @pytest.mark.anyio
 async def test_links_in_relay_processes_pass_lines_on_fail_as_told_and_end_with_them() -> None:
-    async with stage() as here:
+    async with harness() as here:
 
         async def echo(peer: Peer) -> None:
             while (line := await peer.line()) not in (b"FIN", b"RST"):
@@ -118,19 +118,21 @@
             await made.make(1, {"a>x": port, "a>y": port})
             await made.make(2, {"b>x": port})
             assert len(set(made.ports.values())) == 3
-            lines = [Lines(await anyio.connect_tcp(HOST, made.ports[name])) for name in ("a>x", "a>y", "b>x")]
+            lines = [
+                LineStream(await anyio.connect_tcp(HOST, made.ports[name])) for name in ("a>x", "a>y", "b>x")
+            ]
             for line in lines:
-                await line.say(b"one")
+                await line.send_line(b"one")
             assert [await line.next() for line in lines] == [b"one"] * 3
             await made.become(["a>y", "b>x"], "rst")
-            assert [await line.next() for line in lines[1:]] == [Lines.RST] * 2
-            await lines[0].say(b"two")
+            assert [await line.next() for line in lines[1:]] == [LineStream.RST] * 2
+            await lines[0].send_line(b"two")
             assert await lines[0].next() == b"two"
             await made.look()
             assert made.lateness < 1_000.0
             with pytest.raises(RelayEnded, match=r"relay 2: .*sing"):
                 await made.become(["a>x"], "sing")
-        assert await lines[0].next() in (Lines.FIN, Lines.RST), "with its process"
+        assert await lines[0].next() in (LineStream.FIN, LineStream.RST), "with its process"
         here.tasks.cancel_scope.cancel()
 
 
@@ -149,7 +151,7 @@
         async with anyio.create_task_group() as tasks:
 
             async def strike() -> None:
-                while not play.trace.began_serving:
+                while not play.trace.serving_started_at:
                     await anyio.sleep(0.01)
                 end()
 
@@ -171,43 +173,43 @@
 def test_what_a_failed_link_to_discovery_held_back_counts_as_told_when_it_is_sound(
     until: float, late: int
 ) -> None:
-    trace = traced(
-        (1_000.0, What.FAULT, {"by": "n1>discovery", "detail": "hold back"}),
-        (1_500.0, What.TOLD, {"server": "a", "detail": "leaving", "by": "n1"}),
-        (1_500.0 + until - 1_500.0, What.FAULT, {"by": "n1>discovery", "detail": "sound"}),
-        (6_500.0, What.CLAIM, {"job": "j", "server": "a", "by": "n1", "detail": "1"}),
+    trace = trace_of(
+        (1_000.0, EventKind.FAULT, {"by": "n1>discovery", "detail": "hold back"}),
+        (1_500.0, EventKind.LISTED, {"server": "a", "detail": "leaving", "by": "n1"}),
+        (1_500.0 + until - 1_500.0, EventKind.FAULT, {"by": "n1>discovery", "detail": "sound"}),
+        (6_500.0, EventKind.ATTEMPT, {"job": "j", "server": "a", "by": "n1", "detail": "1"}),
     )
-    assert len(checks.drains_kept(trace)) == late
+    assert len(checks.draining_servers_spared(trace)) == late
 
 
 def test_what_is_missed_counts_as_told_though_the_link_never_comes_back() -> None:
-    trace = traced(
-        (1_000.0, What.FAULT, {"by": "n1>discovery", "detail": "drop"}),
-        (1_500.0, What.TOLD, {"server": "a", "detail": "leaving", "by": "n1"}),
-        (10_900.0, What.CLAIM, {"job": "early", "server": "a", "by": "n1", "detail": "1"}),
-        (11_100.0, What.CLAIM, {"job": "late", "server": "a", "by": "n1", "detail": "2"}),
+    trace = trace_of(
+        (1_000.0, EventKind.FAULT, {"by": "n1>discovery", "detail": "drop"}),
+        (1_500.0, EventKind.LISTED, {"server": "a", "detail": "leaving", "by": "n1"}),
+        (10_900.0, EventKind.ATTEMPT, {"job": "early", "server": "a", "by": "n1", "detail": "1"}),
+        (11_100.0, EventKind.ATTEMPT, {"job": "late", "server": "a", "by": "n1", "detail": "2"}),
     )
-    assert [breach.partition(":")[0] for breach in checks.drains_kept(trace)] == ["late"]
+    assert [breach.partition(":")[0] for breach in checks.draining_servers_spared(trace)] == ["late"]
 
 
 @pytest.mark.parametrize(("link", "broken"), [("n1>a", 0), ("n1>b", 1)])
 def test_a_claim_behind_a_link_that_passes_nothing_is_not_taken_for_out(link: str, broken: int) -> None:
-    trace = traced(
-        (0.0, What.ASKED, {"job": "j", "by": "n1"}),
-        (100.0, What.FAULT, {"by": link, "detail": "hold there"}),
-        (200.0, What.CLAIM, {"job": "j", "server": "a", "detail": "1"}),
-        (1_300.0, What.CLAIM, {"job": "j", "server": "c", "detail": "2"}),
-        (2_000.0, What.FAULT, {"by": link, "detail": "sound"}),
-        (2_010.0, What.CLAIM_END, {"job": "j", "server": "a", "detail": "1"}),
-        (2_500.0, What.CLAIM_END, {"job": "j", "server": "c", "detail": "2"}),
+    trace = trace_of(
+        (0.0, EventKind.REQUESTED, {"job": "j", "by": "n1"}),
+        (100.0, EventKind.FAULT, {"by": link, "detail": "hold there"}),
+        (200.0, EventKind.ATTEMPT, {"job": "j", "server": "a", "detail": "1"}),
+        (1_300.0, EventKind.ATTEMPT, {"job": "j", "server": "c", "detail": "2"}),
+        (2_000.0, EventKind.FAULT, {"by": link, "detail": "sound"}),
+        (2_010.0, EventKind.ATTEMPT_END, {"job": "j", "server": "a", "detail": "1"}),
+        (2_500.0, EventKind.ATTEMPT_END, {"job": "j", "server": "c", "detail": "2"}),
     )
-    assert len(checks.never_two_claims(trace)) == broken
-    assert {entry.by for entry in trace.of(What.CLAIM)} == {"n1"}, "named by where its client went"
+    assert len(checks.no_overlapping_attempts(trace)) == broken
+    assert {entry.by for entry in trace.of(EventKind.ATTEMPT)} == {"n1"}, "named by where its client went"
 
 
 @pytest.mark.anyio
 async def test_one_balancer_is_told_its_lists_another_way() -> None:
-    async with stage() as here:
+    async with harness() as here:
         trace = Trace(here.clock.now)
         discovery = Discovery(here.clock, trace, here.tasks)
         for n in range(6):
@@ -218,13 +220,13 @@
         discovery.twist("n2", "short")
 
         async def listed(by: str) -> list[str]:
-            _, body = await call(int(views[by].rpartition(":")[2]), "GET /v1/servers")
+            _, body = await http_call(int(views[by].rpartition(":")[2]), "GET /v1/servers")
             return [part[:3] for part in body.split('"id": "')[1:]]
 
         assert await listed("n3") == [f"s-{n}" for n in range(6)]
         assert await listed("n1") == [f"s-{n}" for n in reversed(range(6))]
         assert await listed("n2") == ["s-0", "s-1", "s-2", "s-3"]
-        gone = {(entry.server, entry.by) for entry in trace.of(What.TOLD) if entry.detail == "left"}
+        gone = {(entry.server, entry.by) for entry in trace.of(EventKind.LISTED) if entry.detail == "left"}
         assert gone == {("s-4", "n2"), ("s-5", "n2")}, "what a whole list does not name is gone"
         here.tasks.cancel_scope.cancel()
 
@@ -246,12 +248,14 @@
 
 
 def test_loads_idle_servers_and_refusals_with_room_are_counted() -> None:
-    entries: list[tuple[float, What, dict[str, Any]]] = [
-        (float(n), What.UP, {"job": f"j{n}", "server": "a"}) for n in range(100)
+    entries: list[tuple[float, EventKind, dict[str, Any]]] = [
+        (float(n), EventKind.UP, {"job": f"j{n}", "server": "a"}) for n in range(100)
     ]
-    entries += [(2_500.0, What.DONE, {"server": "a"}), (3_500.0, What.BUSY, {"job": "late"})]
-    trace = traced(
-        *entries, (3_600.0, What.STATE, {"server": "b", "detail": "silent"}), (3_700.0, What.BUSY, {})
+    entries += [(2_500.0, EventKind.DONE, {"server": "a"}), (3_500.0, EventKind.BUSY, {"job": "late"})]
+    trace = trace_of(
+        *entries,
+        (3_600.0, EventKind.STATE, {"server": "b", "detail": "silent"}),
+        (3_700.0, EventKind.BUSY, {}),
     )
     rows = loads(trace, ["a", "b"], 1_000.0, 3_000.0)
     assert [row.held for row in rows] == [(100, 0), (100, 0), (99, 0)]
@@ -263,19 +267,19 @@
 
 
 def test_a_report_has_tables_a_picture_and_the_faults_as_spans(tmp_path: Path) -> None:
-    trace = traced(
-        (100.0, What.ASKED, {"job": "j", "cls": "price-lookup", "by": "n1"}),
-        (105.0, What.UP, {"job": "j", "cls": "price-lookup", "server": "gw", "ms": 5.0}),
-        (1_000.0, What.FAULT, {"by": "n1", "detail": "freeze"}),
-        (1_001.0, What.FAULT, {"by": "n2", "detail": "freeze"}),
-        (5_000.0, What.FAULT, {"by": "n1", "detail": "wake"}),
-        (5_001.0, What.FAULT, {"by": "n2", "detail": "wake"}),
-        (9_000.0, What.DONE, {"job": "j", "server": "gw"}),
+    trace = trace_of(
+        (100.0, EventKind.REQUESTED, {"job": "j", "cls": "price-lookup", "by": "n1"}),
+        (105.0, EventKind.UP, {"job": "j", "cls": "price-lookup", "server": "gw", "ms": 5.0}),
+        (1_000.0, EventKind.FAULT, {"by": "n1", "detail": "freeze"}),
+        (1_001.0, EventKind.FAULT, {"by": "n2", "detail": "freeze"}),
+        (5_000.0, EventKind.FAULT, {"by": "n1", "detail": "wake"}),
+        (5_001.0, EventKind.FAULT, {"by": "n2", "detail": "wake"}),
+        (9_000.0, EventKind.DONE, {"job": "j", "server": "gw"}),
     )
-    trace.ended_serving = 9_000.0
+    trace.serving_ended_at = 9_000.0
     assert [str(span) for span in spans(trace)] == ["freeze: n1, n2"]
-    assert latencies(trace.of(What.UP)) == pytest.approx([5.0] * 4, rel=0.01) and latencies([]) == []
-    report = Report(trace, Script(servers={"gw": Make()}))
+    assert latencies(trace.of(EventKind.UP)) == pytest.approx([5.0] * 4, rel=0.01) and latencies([]) == []
+    report = Report(trace, Script(servers={"gw": ServerProfile()}))
     assert "rules kept" in report.text() and "freeze: n1, n2" in report.text()
     report.picture(tmp_path / "play.png")
     assert (tmp_path / "play.png").stat().st_size > 10_000
@@ -287,13 +291,13 @@
 @pytest.mark.parametrize("name", ["deaf", "lists", "rolling", "starts", "two"])
 def test_a_story_with_five_balancers_keeps_the_rules(name: str, tmp_path: Path) -> None:
     script = read_script(
-        STORIES / f"{name}.yaml", balancers=8 if name in ("starts", "lists") else 5, rate=30.0
+        STORIES_DIRECTORY / f"{name}.yaml", balancers=8 if name in ("starts", "lists") else 5, rate=30.0
     )
     trace = anyio.run(Play(script, tmp_path).run)
     report = Report(trace, script)
     assert report.broken == []
     turned, with_room = report.refused()
-    assert with_room <= 0.02 * len(list(trace.of(What.ASKED))), turned
+    assert with_room <= 0.02 * len(list(trace.of(EventKind.REQUESTED))), turned
     assert {span.do for span in report.faults} >= {
         event.do for event in script.events if event.whom != "server"
     }
--- a/tests/test_staleness.py
+++ b/tests/test_staleness.py
@@ -15,11 +15,11 @@
 
 from puffinford.core.clock import SettableClock
 from puffinford.core.exchange import Exchange
-from puffinford.core.values import MachineList
+from puffinford.core.values import ServerEntries
 from puffinford.interface import ServerState
-from puffinford.machines.discovery import OUT_MOST, WAIT, DiscoveryWatch
+from puffinford.server_list.discovery import MAX_CONCURRENT_CALLS, WATCH_WAIT_MS, DiscoveryWatch
 from puffinford.state.recovery import ListGuard
-from tests.stage import Peer, Stage, settings, stage
+from tests.harness import Harness, Peer, harness, settings
 
 pytestmark = pytest.mark.anyio
 TOLD = 6_000.0  # ms after which a change counts as told
@@ -57,7 +57,7 @@
                 await self.lets_down(stream)
                 return
             if b"index=%d&" % self.version in line and b"wait=0 " not in line:
-                with self.clock.limit(WAIT):
+                with self.clock.limit(WATCH_WAIT_MS):
                     await self._news.wait()
             await stream.send(body(self.version, self.state))
         finally:
@@ -117,7 +117,7 @@
 class Watched:
     """An exchange that hears of discovery through a watch of its own."""
 
-    def __init__(self, here: Stage, pushed: bool, seed: int) -> None:
+    def __init__(self, here: Harness, pushed: bool, seed: int) -> None:
         told = settings(list_on_request=not pushed, ask_within=10_000.0)
         self.clock = here.clock
         self.exchange = Exchange(told, seed, here.clock, {})
@@ -126,13 +126,13 @@
         self.here = here
         self.pushed, self.seed = pushed, seed
 
-    def take(self, machines: MachineList | None) -> int | None:
+    def take(self, machines: ServerEntries | None) -> int | None:
         if machines is None:
             self.exchange.take_list(None)
             return self.guard.version
         taken = self.guard.judge(machines)
-        if taken.machines is not None:
-            self.exchange.take_list(taken.machines)
+        if taken.entries is not None:
+            self.exchange.take_list(taken.entries)
         return taken.version
 
     async def start(self) -> None:
@@ -146,7 +146,7 @@
         self.watch = watch
 
     def state(self) -> ServerState | None:
-        backend = self.exchange._balancer.known.backends.get("s-1")
+        backend = self.exchange._balancer.listed_servers.backends.get("s-1")
         return None if backend is None else backend.listed
 
     async def pass_time(self, ms: float, until: Callable[[], bool] = lambda: False) -> float:
@@ -168,7 +168,7 @@
     way: str, down: float, pushed: bool, seed: int
 ) -> None:
     """All calls let us down for `down` ms, or (0) just the watch that is out; the change comes first."""
-    async with stage() as here:
+    async with harness() as here:
         watched = Watched(here, pushed, seed)
         await watched.start()
         service = watched.service
@@ -183,7 +183,7 @@
         service.lets_down = None
         late = await watched.pass_time(TOLD + 500.0, lambda: watched.state() is ServerState.DRAINING)
         assert late <= TOLD
-        assert service.most <= OUT_MOST
+        assert service.most <= MAX_CONCURRENT_CALLS
         here.tasks.cancel_scope.cancel()
 
 
@@ -193,7 +193,7 @@
     pushed: bool, seed: int
 ) -> None:
     """Five quiet minutes, then two in which each call ends in a way that is drawn for it."""
-    async with stage() as here:
+    async with harness() as here:
         watched = Watched(here, pushed, seed)
         await watched.start()
         await watched.pass_time(300_000.0)
@@ -209,25 +209,25 @@
         await watched.pass_time(60_000.0)
         service.lets_down = None
         late = await watched.pass_time(TOLD + 500.0, lambda: watched.state() is ServerState.DRAINING)
-        assert late <= TOLD and service.most <= OUT_MOST
+        assert late <= TOLD and service.most <= MAX_CONCURRENT_CALLS
         here.tasks.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize("pushed", [False, True], ids=["asked", "pushed"])
 async def test_a_discovery_that_hangs_for_a_minute_is_held_few_calls(pushed: bool) -> None:
-    async with stage() as here:
+    async with harness() as here:
         watched = Watched(here, pushed, 1)
         await watched.start()
         watched.service.lets_down = silent
         watched.service.calls = 0
         await watched.pass_time(60_000.0)
-        assert watched.service.most <= OUT_MOST and watched.service.calls <= 60_000.0 / 2_000.0
+        assert watched.service.most <= MAX_CONCURRENT_CALLS and watched.service.calls <= 60_000.0 / 2_000.0
         here.tasks.cancel_scope.cancel()
 
 
 async def test_a_discovery_that_answers_a_watch_at_once_costs_ten_calls_a_second() -> None:
     """A watch that never waits would take the core that the clients need."""
-    async with stage() as here:
+    async with harness() as here:
         watched = Watched(here, False, 1)
         await watched.start()
 
--- a/tests/test_stall.py
+++ b/tests/test_stall.py
@@ -10,10 +10,10 @@
 
 from puffinford.core.clock import SettableClock
 from puffinford.core.stall import DOUBT_MOST
-from puffinford.core.values import MachineList
+from puffinford.core.values import ServerEntries
 from puffinford.interface import ServerState
-from puffinford.machines.discovery import LATE, WAIT, DiscoveryWatch
-from tests.stage import Peer, discovery, echo, opening, stage
+from puffinford.server_list.discovery import ANSWER_GRACE_MS, WATCH_WAIT_MS, DiscoveryWatch
+from tests.harness import Peer, discovery, echo, harness, opening
 
 STOOD = 4_000.0  # ms
 
@@ -28,25 +28,25 @@
         async def script(peer: Peer) -> None:
             line = await peer.line()
             attempts.append(ident)
-            await peer.say(b"UP " + line.split()[1])
+            await peer.send_line(b"UP " + line.split()[1])
             await peer.line()
 
         return script
 
-    async with stage() as here:
-        here.source.told = True
+    async with harness() as here:
+        here.source.refreshable = True
         await here.server("s-1", server("s-1"))
         await here.settle()
         here.clock.advance(STOOD)  # in one step: no turn came in it
         client = await here.client(opening("0a"))
         for _ in range(20):
             await here.settle()
-        assert attempts == [] and here.source.asked == 1, "asked at once, and once"
+        assert attempts == [] and here.source.refresh_calls == 1, "asked at once, and once"
         if news == "draining":
             await here.server("s-2", server("s-2"))
-            here.list_machine("s-1", 1, ServerState.DRAINING)
+            here.list_server("s-1", 1, ServerState.DRAINING)
         elif news == "none":
-            here.exchange.take_list(MachineList(2, False, []))
+            here.exchange.take_list(ServerEntries(2, False, []))
         else:
             if news == "a failed call":
                 here.exchange.take_list(None)  # the one of before the stop, whose time is up
@@ -62,13 +62,13 @@
 
 @pytest.mark.anyio
 async def test_a_short_pause_is_no_stop() -> None:
-    async with stage() as here:
-        here.source.told = True
+    async with harness() as here:
+        here.source.refreshable = True
         await here.server("s-1", echo)
         await here.settle()
         here.clock.advance(700.0)
         client = await here.client(opening("0a"))
-        assert await client.line() == b"UP r1\r\n" and here.source.asked == 0
+        assert await client.line() == b"UP r1\r\n" and here.source.refresh_calls == 0
         here.tasks.cancel_scope.cancel()
 
 
@@ -76,16 +76,16 @@
 async def test_a_refresh_asks_without_waiting_whatever_call_is_out() -> None:
     """The call that was out is over its time after a stop; the next one came up to two seconds later."""
     asked: list[bytes] = []
-    taken: list[MachineList | None] = []
+    taken: list[ServerEntries | None] = []
     heard = anyio.Event()
 
-    def take(machines: MachineList | None) -> int | None:
+    def take(machines: ServerEntries | None) -> int | None:
         taken.append(machines)
         heard.set()
         return machines.version if machines else 1
 
     clock = SettableClock()
-    async with stage() as here:
+    async with harness() as here:
         port = await here.listen(discovery(asked, {"id": "s-1", "addr": "127.0.0.1:7000"}))
         watch = DiscoveryWatch(("127.0.0.1", port), None, clock, take, False, random.Random(1))
         here.tasks.start_soon(watch.run)
@@ -94,7 +94,7 @@
         await heard.wait()
         while len(asked) < 2:  # the watch is out now, and waits
             await anyio.sleep(0)
-        clock.advance(WAIT + LATE)
+        clock.advance(WATCH_WAIT_MS + ANSWER_GRACE_MS)
         assert watch.refresh()
         while len(asked) < 3:
             await anyio.sleep(0)
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -18,113 +18,122 @@
 from puffinford.stage.script import BadScript, read_script
 from puffinford.standins import checks
 from puffinford.standins.balancer import reserve_port
-from puffinford.standins.discovery import Discovery, Registry
-from puffinford.standins.listeners import HOST, Lines, reset
-from puffinford.standins.servers import LineServer, Make
-from puffinford.standins.trace import Trace, What
-from tests.stage import traced
+from puffinford.standins.discovery import Discovery, EntryRegistry
+from puffinford.standins.listeners import HOST, LineStream, reset
+from puffinford.standins.servers import LineServer, ServerProfile
+from puffinford.standins.trace import EventKind, Trace
+from tests.harness import trace_of
 
 
 def claim(
     at: float, job: str, server: str, end: float | None = None, by: str = ""
-) -> list[tuple[float, What, dict[str, Any]]]:
+) -> list[tuple[float, EventKind, dict[str, Any]]]:
     who = {"job": job, "server": server, "detail": f"{job}-{server}", "by": by}
-    made = [(at, What.CLAIM, who)]
-    return made if end is None else [*made, (end, What.CLAIM_END, who)]
+    made = [(at, EventKind.ATTEMPT, who)]
+    return made if end is None else [*made, (end, EventKind.ATTEMPT_END, who)]
 
 
-ASKED, UP, BUSY = ((what, {"job": "j"}) for what in (What.ASKED, What.UP, What.BUSY))
+REQUESTED, UP, BUSY = ((what, {"job": "j"}) for what in (EventKind.REQUESTED, EventKind.UP, EventKind.BUSY))
 
 
 @pytest.mark.parametrize(
     ("check", "entries", "broken"),
     [
-        (checks.one_final_answer, [(0, *ASKED), (1, *UP)], 0),
-        (checks.one_final_answer, [(0, *ASKED), (1, *UP), (2, *BUSY)], 1),
-        (checks.one_final_answer, [(0, *ASKED)], 1),
-        (checks.nothing_lost, [(0, What.LOST, {"job": "j"})], 1),
-        (checks.never_two_claims, [*claim(0, "j", "a", 10), *claim(10, "j", "b", 500)], 0),
+        (checks.one_final_answer, [(0, *REQUESTED), (1, *UP)], 0),
+        (checks.one_final_answer, [(0, *REQUESTED), (1, *UP), (2, *BUSY)], 1),
+        (checks.one_final_answer, [(0, *REQUESTED)], 1),
+        (checks.every_request_answered, [(0, EventKind.LOST, {"job": "j"})], 1),
+        (checks.no_overlapping_attempts, [*claim(0, "j", "a", 10), *claim(10, "j", "b", 500)], 0),
         (
-            checks.never_two_claims,
+            checks.no_overlapping_attempts,
             sorted([*claim(0, "j", "a", 300), *claim(100, "j", "b", 500)], key=lambda e: e[0]),
             1,
         ),
         (
-            checks.never_two_claims,
+            checks.no_overlapping_attempts,
             [
-                (0, What.FAULT, {"by": "n1>a", "detail": "hold"}),
+                (0, EventKind.FAULT, {"by": "n1>a", "detail": "hold"}),
                 *claim(10, "j", "a", by="n1"),
                 *claim(100, "j", "b", 500, by="n1"),
-                (600, What.FAULT, {"by": "n1>a", "detail": "sound"}),
+                (600, EventKind.FAULT, {"by": "n1>a", "detail": "sound"}),
             ],
             0,
         ),
         (
-            checks.never_two_claims,
+            checks.no_overlapping_attempts,
             [
-                (0, What.FAULT, {"by": "n1>c", "detail": "hold"}),
+                (0, EventKind.FAULT, {"by": "n1>c", "detail": "hold"}),
                 *claim(10, "j", "a", by="n1"),
                 *claim(100, "j", "b", 500, by="n1"),
             ],
             1,
         ),
         (
-            checks.drains_kept,
-            [(0, What.TOLD, {"server": "a", "detail": "leaving"}), *claim(2_900, "j", "a")],
+            checks.draining_servers_spared,
+            [(0, EventKind.LISTED, {"server": "a", "detail": "leaving"}), *claim(2_900, "j", "a")],
             0,
         ),
         (
-            checks.drains_kept,
-            [(0, What.TOLD, {"server": "a", "detail": "leaving"}), *claim(3_100, "j", "a")],
+            checks.draining_servers_spared,
+            [(0, EventKind.LISTED, {"server": "a", "detail": "leaving"}), *claim(3_100, "j", "a")],
             1,
         ),
         (
-            checks.drains_kept,
+            checks.draining_servers_spared,
             [
-                (0, What.TOLD, {"server": "a", "detail": "left"}),
-                (1, What.TOLD, {"server": "a", "detail": "active"}),
+                (0, EventKind.LISTED, {"server": "a", "detail": "left"}),
+                (1, EventKind.LISTED, {"server": "a", "detail": "active"}),
                 *claim(3_100, "j", "a"),
             ],
             0,
         ),
-        (checks.moves_said, [(0, What.CUT, {"job": "j", "server": "a"})], 1),
+        (checks.moves_announced, [(0, EventKind.CUT_OFF, {"job": "j", "server": "a"})], 1),
         (
-            checks.moves_said,
-            [(0, What.BROKEN, {"job": "j", "server": "a"}), (1, What.CUT, {"job": "j", "server": "a"})],
+            checks.moves_announced,
+            [
+                (0, EventKind.BROKEN, {"job": "j", "server": "a"}),
+                (1, EventKind.CUT_OFF, {"job": "j", "server": "a"}),
+            ],
             0,
         ),
         (
-            checks.moves_said,
-            [(0, What.CUT, {"job": "j", "server": "a"}), (1, What.BROKEN, {"job": "j", "server": "a"})],
+            checks.moves_announced,
+            [
+                (0, EventKind.CUT_OFF, {"job": "j", "server": "a"}),
+                (1, EventKind.BROKEN, {"job": "j", "server": "a"}),
+            ],
             1,
         ),
         (
-            checks.moves_said,
-            [(0, What.BROKEN, {"job": "k", "server": "a"}), (1, What.CUT, {"job": "j", "server": "a"})],
+            checks.moves_announced,
+            [
+                (0, EventKind.BROKEN, {"job": "k", "server": "a"}),
+                (1, EventKind.CUT_OFF, {"job": "j", "server": "a"}),
+            ],
             1,
         ),
         (
-            checks.moves_said,
+            checks.moves_announced,
             [
-                (0, What.STATE, {"server": "a", "detail": "dropping"}),
-                (1, What.CUT, {"job": "j", "server": "a"}),
+                (0, EventKind.STATE, {"server": "a", "detail": "dropping"}),
+                (1, EventKind.CUT_OFF, {"job": "j", "server": "a"}),
             ],
             1,
         ),
     ],
 )
 def test_a_checker_names_each_breach_and_nothing_else(
-    check: Callable[[Trace], list[str]], entries: list[tuple[float, What, dict[str, Any]]], broken: int
+    check: Callable[[Trace], list[str]], entries: list[tuple[float, EventKind, dict[str, Any]]], broken: int
 ) -> None:
-    assert len(check(traced(*entries))) == broken
+    assert len(check(trace_of(*entries))) == broken
 
 
 @pytest.mark.parametrize(("gap", "kept"), [(10.0, False), (400.0, True)])
 def test_the_cold_budget_is_checked_in_every_window(gap: float, kept: bool) -> None:
-    entries = [(0.0, What.STATE, {"server": "a", "detail": "cold"})]
+    entries = [(0.0, EventKind.STATE, {"server": "a", "detail": "cold"})]
     for n in range(20):
         entries += claim(100.0 + n * gap, f"j{n}", "a")
-    wrong = checks.cold_not_flooded(traced(*entries), {"a": 10.0}, 0.1, 20_000.0)
+    wrong = checks.cold_servers_not_flooded(trace_of(*entries), {"a": 10.0}, 0.1, 20_000.0)
     assert (not wrong) == kept
 
 
@@ -149,7 +158,7 @@
 
 
 def test_the_registry_answers_with_the_changes_or_with_all() -> None:
-    registry = Registry()
+    registry = EntryRegistry()
     registry.put("a", addr="h:1")
     registry.put("b", addr="h:2")
     registry.put("a", state="left")
@@ -180,15 +189,15 @@
         discovery.put("a", state="leaving")
         assert b"leaving" in await there.receive()
         await anyio.wait_all_tasks_blocked()
-        assert [entry.detail for entry in trace.of(What.TOLD)] == ["leaving"]
+        assert [entry.detail for entry in trace.of(EventKind.LISTED)] == ["leaving"]
         tasks.cancel_scope.cancel()
 
 
-async def stand(server: LineServer, job: str) -> Lines:
+async def stand(server: LineServer, job: str) -> LineStream:
     """A connection of its own that stands at a server, as a balancer makes it."""
     host, _, port = server.address.rpartition(":")
-    lines = Lines(await anyio.connect_tcp(host, int(port)))
-    await lines.say(b"OPEN " + job.encode() + b" 7f3a c=a")
+    lines = LineStream(await anyio.connect_tcp(host, int(port)))
+    await lines.send_line(b"OPEN " + job.encode() + b" 7f3a c=a")
     assert (await lines.next()).startswith(b"UP ")
     return lines
 
@@ -205,7 +214,7 @@
     clock = Clock()
     trace = Trace(clock.now)
     async with anyio.create_task_group() as tasks:
-        server = LineServer("gw-5", Make(), clock, trace, random.Random(1), tasks)
+        server = LineServer("gw-5", ServerProfile(), clock, trace, random.Random(1), tasks)
         server.start()
         standing = await stand(server, "crashed")
         server.become("dropping")
@@ -213,13 +222,13 @@
         await cut.stream.aclose()
         dropped = await stand(server, "dropped")
         server.become("sound")
-        assert await dropped.next() == Lines.RST
+        assert await dropped.next() == LineStream.RST
         await server.crash()
-        assert await standing.next() == Lines.RST
+        assert await standing.next() == LineStream.RST
         for job in ("cut", "dropped", "crashed"):
-            trace.add(What.CUT, job=job, server="gw-5")
+            trace.add(EventKind.CUT_OFF, job=job, server="gw-5")
         tasks.cancel_scope.cancel()
-    assert checks.moves_said(trace) == ["cut: cut without MOVE, gw-5 had not broken it"]
+    assert checks.moves_announced(trace) == ["cut: cut without MOVE, gw-5 had not broken it"]
 
 
 @pytest.mark.anyio
@@ -231,22 +240,22 @@
     clock = Clock()
     trace = Trace(clock.now)
     async with anyio.create_task_group() as tasks:
-        server = LineServer("gw-5", Make(), clock, trace, random.Random(1), tasks)
+        server = LineServer("gw-5", ServerProfile(), clock, trace, random.Random(1), tasks)
         server.start()
-        say = Lines.say
+        send_line = LineStream.send_line
 
-        async def crashing(lines: Lines, line: bytes) -> bool:
-            said = await say(lines, line)
+        async def crashing(lines: LineStream, line: bytes) -> bool:
+            said = await send_line(lines, line)
             if line.startswith(b"UP "):
                 await server.crash()
             return said
 
-        monkeypatch.setattr(Lines, "say", crashing)
+        monkeypatch.setattr(LineStream, "send_line", crashing)
         lines = await stand(server, "j")
-        assert await lines.next() == Lines.RST
-        trace.add(What.CUT, job="j", server="gw-5")
+        assert await lines.next() == LineStream.RST
+        trace.add(EventKind.CUT_OFF, job="j", server="gw-5")
         tasks.cancel_scope.cancel()
-    assert checks.moves_said(trace) == []
+    assert checks.moves_announced(trace) == []
 
 
 def test_a_reserved_port_is_given_to_no_other_play_and_can_be_listened_at() -> None:
@@ -273,5 +282,5 @@
     ]
     trace = anyio.run(Play(script, tmp_path).run)
     assert not rules(trace, trace.elapsed - 3_000.0)
-    assert trace.count(What.UP).total() > 0 and "gw-1" in Report(trace, script).text()
-    assert {entry.detail for entry in trace.of(What.STATE)} >= {"sound", "refusing"}
+    assert trace.count(EventKind.UP).total() > 0 and "gw-1" in Report(trace, script).text()
+    assert {entry.detail for entry in trace.of(EventKind.STATE)} >= {"sound", "refusing"}
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -14,15 +14,15 @@
 
 from benchmarks.start import story
 from puffinford.core.clock import Clock
-from puffinford.core.values import Machine, MachineList, Restored
+from puffinford.core.values import RestoredState, ServerEntries, ServerEntry
 from puffinford.interface import ListKind, Server
 from puffinford.standins.discovery import Discovery
-from puffinford.standins.servers import LineServer, Make
+from puffinford.standins.servers import LineServer, ServerProfile
 from puffinford.standins.trace import Trace
 from puffinford.state.recovery import Start, merge
 from puffinford.state.store import inspect
 from puffinford.state.trust import Weights
-from tests.stage import Peer, Program, Stage, answering, call, echo, opening, program, stage
+from tests.harness import Harness, Peer, Program, answering, echo, harness, http_call, opening, program
 from tests.test_program import FACTS
 
 pytestmark = pytest.mark.anyio
@@ -40,7 +40,8 @@
         self.operators.write_text(f'section state\n directory "{directory}"\n write-every 50ms\n')
         self.discovery = Discovery(clock, trace, tasks)
         self.servers = [
-            LineServer(f"s-{n}", Make(set_up=1.0), clock, trace, Random(n), tasks) for n in range(count)
+            LineServer(f"s-{n}", ServerProfile(set_up=1.0), clock, trace, Random(n), tasks)
+            for n in range(count)
         ]
         for server in self.servers:
             server.start()
@@ -58,17 +59,17 @@
 
     async def client(self, port: int, job: str) -> bytes:
         peer = Peer(await anyio.connect_tcp("127.0.0.1", port))
-        await peer.say(opening(job, b"c=price-lookup,d=400"))
+        await peer.send_line(opening(job, b"c=price-lookup,d=400"))
         return await peer.line()
 
 
 async def has_logged(running: Program, *patterns: bytes) -> None:
     for pattern in patterns:
-        await running.logged(pattern)
+        await running.wait_for_log(pattern)
 
 
 async def test_a_killed_balancer_starts_from_its_store_and_obeys_the_drain_told_last(tmp_path: Path) -> None:
-    async with stage() as here:
+    async with harness() as here:
         site = Site(here.tasks, tmp_path, 3)
         async with site.program() as first:
             await has_logged(first, b"list=replace")
@@ -94,7 +95,7 @@
 
 @pytest.mark.parametrize("mode", ["unavailable", "garbage", "reset", "hung"])
 async def test_discovery_that_fails_leaves_the_list_and_is_asked_again(tmp_path: Path, mode: str) -> None:
-    async with stage() as here:
+    async with harness() as here:
         site = Site(here.tasks, tmp_path, 2)
         async with site.program() as running:
             port = await running.port(b"lines")
@@ -112,7 +113,7 @@
 
 
 async def test_an_older_answer_is_doubted_and_taken_when_it_is_repeated(tmp_path: Path) -> None:
-    async with stage() as here:
+    async with harness() as here:
         site = Site(here.tasks, tmp_path, 2)
         async with site.program() as first:
             await has_logged(first, b"list=replace")
@@ -127,7 +128,7 @@
 
 async def test_discovery_at_another_address_with_another_list_takes_everybody_over(tmp_path: Path) -> None:
     """Started from a store, discovery absent; SIGHUP names another, with a list that shares nothing."""
-    async with stage() as here:
+    async with harness() as here:
         site = Site(here.tasks, tmp_path, 1)
         async with site.program() as first:
             await has_logged(first, b"list=replace")
@@ -136,14 +137,16 @@
         site.discovery.become("absent")
         (tmp_path / "other").mkdir()
         other = Site(here.tasks, tmp_path / "other", 0)
-        fresh = LineServer("x-1", Make(set_up=1.0), Clock(), Trace(Clock().now), Random(0), here.tasks)
+        fresh = LineServer(
+            "x-1", ServerProfile(set_up=1.0), Clock(), Trace(Clock().now), Random(0), here.tasks
+        )
         fresh.start()
         other.discovery.registry.put("x-1", addr=fresh.address)
         async with site.program() as second:
             await has_logged(second, b"source=store")
             port = await second.port(b"lines")
             standing = Peer(await anyio.connect_tcp("127.0.0.1", port))
-            await standing.say(opening("0a", b"c=price-lookup,d=400"))
+            await standing.send_line(opening("0a", b"c=price-lookup,d=400"))
             assert (await standing.line()).startswith(b"UP r-s-0-")
             site.tell(other.discovery.address)
             second.process.send_signal(signal.SIGHUP)
@@ -158,7 +161,7 @@
     platform = socket.create_server(("127.0.0.1", 0))
     port, fd = platform.getsockname()[1], platform.fileno()
     (tmp_path / "tmp").mkdir()
-    async with stage() as here:
+    async with harness() as here:
         site = Site(here.tasks, tmp_path, 3)
         site.tell(site.discovery.address, listen=f"127.0.0.1:{port}")
         env = {"TMPDIR": str(tmp_path / "tmp"), "EDGE_SOCKET_FD": str(fd), "EDGE_MGMT": "127.0.0.1:0"}
@@ -170,14 +173,14 @@
                 job += 1
                 await site.client(port, f"{job:x}")
                 with anyio.move_on_after(0.02):
-                    await old.logged(b'event="claim ended" .*result=reset')
+                    await old.wait_for_log(b'event="claim ended" .*result=reset')
                     break
             async with program(site.config, fds=[fd], **env) as new:
                 address = await new.port(b"management")
-                while (await call(address, "GET /admin/health"))[0] != 200:
+                while (await http_call(address, "GET /admin/health"))[0] != 200:
                     await anyio.sleep(0.01)
                 await has_logged(new, b'event="took over" learned=s-1')
-                assert "servers_excluded:1|g" in (await call(address, "GET /admin/stats"))[1]
+                assert "servers_excluded:1|g" in (await http_call(address, "GET /admin/stats"))[1]
                 old.process.send_signal(signal.SIGTERM)
                 await has_logged(new, b'event="state writer"')
                 assert await old.process.wait() == 0
@@ -196,8 +199,8 @@
     await peer.line()
 
 
-def start_of(here: Stage, machines: list[Machine], old_ms: float) -> Start:
-    known = MachineList(1, True, machines)
+def start_of(here: Harness, machines: list[ServerEntry], old_ms: float) -> Start:
+    known = ServerEntries(1, True, machines)
     return merge(None, known, here.clock.now(), 0.0, Weights(), old_ms)
 
 
@@ -205,7 +208,7 @@
 @pytest.mark.parametrize("dead", [None, silent, another_process, answering(rst=True)])
 async def test_dead_entries_of_an_old_list_cost_a_client_one_short_claim(dead: Any, old_ms: float) -> None:
     """Half of the entries refuse, are silent, reset, or are another process by now."""
-    async with stage() as here:
+    async with harness() as here:
         ports = {}
         for n in range(6):
             script = echo if n % 2 else dead
@@ -216,13 +219,15 @@
                 await script(Peer(stream))
 
             ports[n] = await here.listen(play)
-        machines = [Machine(Server(f"s-{n}"), "127.0.0.1", ports.get(n, 9)) for n in range(6)]
-        restored: Restored = start_of(here, machines, old_ms).restored
-        here.exchange._take(restored.machines, ListKind.RESTORED)
+        machines = [ServerEntry(Server(f"s-{n}"), "127.0.0.1", ports.get(n, 9)) for n in range(6)]
+        restored: RestoredState = start_of(here, machines, old_ms).restored
+        here.exchange._apply_list(restored.entries, ListKind.RESTORED)
         from puffinford import interface as it
 
-        here.exchange._tell(it.Unproven(restored.unproven, restored.most, restored.patience))
-        here.tasks.start_soon(here.pass_time)
+        here.exchange._dispatch(
+            it.UnverifiedServers(restored.unverified, restored.max_attempts, restored.attempt_timeout)
+        )
+        here.tasks.start_soon(here.run_clock)
         for n in range(12):
             client = await here.client(opening(f"{n:x}"))
             answer = await client.line()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -20,15 +20,15 @@
 
 from puffinford.cli import main
 from puffinford.core.clock import SettableClock
-from puffinford.core.values import Machine, MachineList
+from puffinford.core.values import ServerEntries, ServerEntry
 from puffinford.interface import Health, Server, ServerState
 from puffinford.operators.schema import StateSettings
 from puffinford.state import records, store
 from puffinford.state.keeper import Keeper
 from puffinford.state.records import LIST_KEY, HealthRecord, ListRecord, ServerRecord, encode, server_key
 from puffinford.state.store import Store, StoreFailed, StoreFull, Verdict, open_store
-from tests.processes import SEAM, Plan
-from tests.stage import program
+from tests.harness import program
+from tests.processes import SEAM, FaultPlan
 from tests.test_program import FACTS
 
 SIZE = 1 << 20
@@ -55,9 +55,9 @@
     return Keeper(told, (path, False), SettableClock(), lambda: learned or [], lambda _: None)
 
 
-def listed(*idents: str, version: int = 1, full: bool = True, state: str = "live") -> MachineList:
-    machines = [Machine(Server(ident, state=ServerState(state)), "127.0.0.1", 1) for ident in idents]
-    return MachineList(version, full, machines)
+def listed(*idents: str, version: int = 1, full: bool = True, state: str = "live") -> ServerEntries:
+    machines = [ServerEntry(Server(ident, state=ServerState(state)), "127.0.0.1", 1) for ident in idents]
+    return ServerEntries(version, full, machines)
 
 
 def python(code: str, *words: str, **more: object) -> subprocess.Popen[bytes]:
@@ -209,7 +209,7 @@
     """The second process of a balancer ended with its clients when the first had gone, for want of a
     descriptor.
     """
-    plan, config = Plan(tmp_path / "plan.json"), tmp_path / "config.json"
+    plan, config = FaultPlan(tmp_path / "plan.json"), tmp_path / "config.json"
     told = {"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1"}
     known = {"version": 1, "full": True, "servers": [{"id": "s-1", "addr": "127.0.0.1:1"}]}
     config.write_text(json.dumps({**told, "settings": FACTS, "known": known}))
@@ -219,10 +219,10 @@
             await first.port(b"lines")
             async with program(config, **env) as second:
                 await second.port(b"lines")
-                plan.tell(0.0, {"call": "open", "errno": "EMFILE", "file": ".writer", "most": 2})
+                plan.apply(0.0, {"call": "open", "errno": "EMFILE", "file": ".writer", "most": 2})
                 first.process.kill()
-                await second.logged(b'event="state not kept"')
-                await second.logged(b'event="state writer"')
+                await second.wait_for_log(b'event="state not kept"')
+                await second.wait_for_log(b'event="state writer"')
                 second.process.kill()
 
 
@@ -420,7 +420,7 @@
     kept._store.close()
     again = keeper(path)
     begun = again.start(listed("s-1", version=2))
-    assert (begun.source, len(begun.restored.machines.machines), begun.version) == ("store", 4, 5)
+    assert (begun.source, len(begun.restored.entries.entries), begun.version) == ("store", 4, 5)
     assert again._store is not None
     again._store.close()
 
@@ -444,7 +444,7 @@
     with caplog.at_level(logging.WARNING, "puffinford.state.keeper"):
         other = of("parcels")
         begun = other.start(listed("s-7", version=1))
-    assert [m.server.id for m in begun.restored.machines.machines] == ["s-7"] and begun.version == 1
+    assert [m.server.id for m in begun.restored.entries.entries] == ["s-7"] and begun.version == 1
     assert [r.getMessage() for r in caplog.records] == ["state of another deployment"]
     other._commit_now()
     assert other._store is not None
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -11,8 +11,8 @@
 import anyio
 import pytest
 
+from tests.harness import Peer, opening
 from tests.processes import Site, site
-from tests.stage import Peer, opening
 
 pytestmark = pytest.mark.anyio
 
@@ -35,8 +35,8 @@
     """A lack of ports was taken for the servers' failure: 42 of 150 clients were turned away."""
     async with site(tmp_path, count=3) as here:
         for number, (call, error, part) in enumerate(LACKS):
-            here.plan.tell(0.0, {"call": call, "errno": error, "part": part}, seed=number)
-            assert await here.crowd(40, f"{number}-") == {"UP": 40}, (call, error)
+            here.plan.apply(0.0, {"call": call, "errno": error, "part": part}, seed=number)
+            assert await here.connect_many(40, f"{number}-") == {"UP": 40}, (call, error)
 
 
 async def test_a_moment_without_room_for_newcomers_sends_nobody_away(tmp_path: Path) -> None:
@@ -44,12 +44,12 @@
     async with site(tmp_path) as here:
         for error in ("ENFILE", "ENOBUFS", "ENETDOWN"):
             slow = Peer(await anyio.connect_tcp("127.0.0.1", here.port))
-            await slow.say(b"PING")
+            await slow.send_line(b"PING")
             assert await slow.line() == b"PONG\r\n"
             await slow.stream.send(opening(error)[:20])
-            here.plan.tell(0.0, {"call": "accept", "errno": error, "most": 2})
-            assert await here.crowd(5, error) == {"UP": 5}
-            await slow.say(opening(error)[20:])
+            here.plan.apply(0.0, {"call": "accept", "errno": error, "most": 2})
+            assert await here.connect_many(5, error) == {"UP": 5}
+            await slow.send_line(opening(error)[20:])
             assert await slow.line() == b"UP r1\r\n"
 
 
@@ -77,12 +77,12 @@
     for number in range(60):
         client = Peer(await anyio.connect_tcp("127.0.0.1", here.port))
         with contextlib.suppress(anyio.BrokenResourceError):
-            await client.say(opening(f"0{number}"))
+            await client.send_line(opening(f"0{number}"))
         clients.append(client)
-    here.plan.tell(0.0, {"call": "accept", "errno": error, "part": 0.2, "most": 4}, seed=3)
+    here.plan.apply(0.0, {"call": "accept", "errno": error, "part": 0.2, "most": 4}, seed=3)
     process.send_signal(signal.SIGHUP)
     process.send_signal(signal.SIGCONT)
-    await here.running.logged(b"event=reloaded")
+    await here.running.wait_for_log(b"event=reloaded")
     return clients
 
 
@@ -93,12 +93,12 @@
     async with site(tmp_path, count=3, discovery="subscribe", rules=rules) as here:
         port = int(here.lists.address.rpartition(":")[2])
         fault = {"call": call, "errno": "ENOBUFS", "most": 5}
-        here.plan.tell(0.0, {**fault, "port": port} if call == "connect" else fault)
+        here.plan.apply(0.0, {**fault, "port": port} if call == "connect" else fault)
         with anyio.fail_after(2.0):
             await here.told("s-1", state="leaving")
         with anyio.fail_after(6.0):
             await here.told("s-2", state="leaving")
-        assert here.running.heard.count(b"discovery failed") == 0
+        assert here.running.log_read.count(b"discovery failed") == 0
 
 
 @pytest.mark.parametrize(("call", "error"), [("socket", "ENOBUFS"), ("bind", "EADDRINUSE")])
@@ -112,15 +112,15 @@
     fault = {"call": call, "errno": error, "most": 3}
     async with site(tmp_path) as here:
         await here.restart(0.0, fault)
-        await here.running.logged(b"event=discovery version")
-        assert await here.crowd(3, "a") == {"UP": 3}
+        await here.running.wait_for_log(b"event=discovery version")
+        assert await here.connect_many(3, "a") == {"UP": 3}
         config = tmp_path / "config.json"
         told = json.loads(config.read_text())
         with socket.create_server(("127.0.0.1", 0)) as free:
             told["listen"] = f"127.0.0.1:{free.getsockname()[1]}"
         config.write_text(json.dumps(told))
-        here.plan.tell(0.0, fault)
+        here.plan.apply(0.0, fault)
         here.running.process.send_signal(signal.SIGHUP)
         with anyio.fail_after(3.0):
             here.port = await here.running.port(b"lines")
-        assert await here.crowd(3, "b") == {"UP": 3}
+        assert await here.connect_many(3, "b") == {"UP": 3}
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -15,8 +15,8 @@
 from puffinford.core.clock import Clock
 from puffinford.standins.discovery import Discovery
 from puffinford.standins.trace import Trace
+from tests.harness import Peer, http_call, opening
 from tests.processes import SETTINGS, Site, site
-from tests.stage import Peer, call, opening
 
 pytestmark = pytest.mark.anyio
 
@@ -32,7 +32,7 @@
 async def ask(here: Site, job: str, figures: bytes) -> Peer:
     """A client that has asked and waits."""
     peer = Peer(await anyio.connect_tcp("127.0.0.1", here.port))
-    await peer.say(opening(job, figures))
+    await peer.send_line(opening(job, figures))
     return peer
 
 
@@ -81,9 +81,9 @@
     async with site(tmp_path, listed="absent") as here:
         peer = Peer(await anyio.connect_tcp("127.0.0.1", here.port))
         for _ in range(50):
-            await peer.say(b"PING")
+            await peer.send_line(b"PING")
             assert await peer.line() == b"PONG\r\n"
-        await peer.say(opening("0a"))
+        await peer.send_line(opening("0a"))
         assert (await peer.line()).split()[0] == b"BUSY"
 
 
@@ -92,24 +92,24 @@
     mode: str, tmp_path: Path
 ) -> None:
     async with site(tmp_path) as here:
-        await here.kept()
+        await here.wait_stored()
         here.lists.become(mode)
         with anyio.fail_after(6.0):
             await here.restart(0.0)
             peer = Peer(await anyio.connect_tcp("127.0.0.1", here.port))
-            await peer.say(b"PING")
+            await peer.send_line(b"PING")
             assert await peer.line() == b"PONG\r\n"
-            await peer.say(opening("0a"))
+            await peer.send_line(opening("0a"))
             assert await peer.line() == b"UP r1\r\n"
 
 
 async def flooding(peer: Peer) -> None:
     """A server that writes long lines as fast as they are taken."""
     await peer.line()
-    await peer.say(b"UP r1")
+    await peer.send_line(b"UP r1")
     with contextlib.suppress(anyio.BrokenResourceError):
         while True:
-            await peer.say(b"x" * 4_000)
+            await peer.send_line(b"x" * 4_000)
 
 
 async def test_move_comes_between_two_lines_of_a_server_that_writes_on(tmp_path: Path) -> None:
@@ -122,7 +122,7 @@
         for _ in range(200):
             assert len(await reading.line()) == 4_002
         here.running.process.send_signal(signal.SIGTERM)
-        await here.running.logged(b"event=drain ")
+        await here.running.wait_for_log(b"event=drain ")
 
         async def moved(peer: Peer) -> None:
             while len(line := await peer.line()) == 4_002:
@@ -134,13 +134,13 @@
             tasks.start_soon(moved, reading)
             tasks.start_soon(moved, late)
         with anyio.fail_after(2.7):
-            await here.running.logged(b"event=drained")
+            await here.running.wait_for_log(b"event=drained")
 
 
 async def ending(peer: Peer, how: str) -> None:
     """A server that answers a line, and then ends the connection or forgets it."""
     await peer.line()
-    await peer.say(b"UP r1")
+    await peer.send_line(b"UP r1")
     await peer.stream.send(await peer.line())
     if how == "reset":
         await peer.rst()
@@ -162,7 +162,7 @@
     async with site(tmp_path, count=0, own=[server]) as here:
         client = await ask(here, "0a", b"c=price-lookup,t=a,d=2000,g=5c")
         assert await client.line() == b"UP r1\r\n"
-        await client.say(b"one")
+        await client.send_line(b"one")
         assert await client.line() == b"one\r\n"
         async with anyio.create_task_group() as tasks:
 
@@ -170,7 +170,7 @@
                 while True:
                     await anyio.sleep(2.0)
                     with contextlib.suppress(anyio.BrokenResourceError):
-                        await client.say(b"two")
+                        await client.send_line(b"two")
 
             tasks.start_soon(send_on)
             with anyio.fail_after(within):
@@ -183,17 +183,17 @@
     """Nor while the process ends: a request that is read after the shutdown and forwarded is lost."""
     async with site(tmp_path) as here:
         rested = Peer(await anyio.connect_tcp("127.0.0.1", here.port))
-        await rested.say(b"PING")
+        await rested.send_line(b"PING")
         assert await rested.line() == b"PONG\r\n"
         bad = Peer(await anyio.connect_tcp("127.0.0.1", here.port))
-        await bad.say(first)
+        await bad.send_line(first)
         assert (await bad.line()).startswith(b"ERR")
-        await bad.say(opening("0b"))
+        await bad.send_line(opening("0b"))
         here.running.process.send_signal(signal.SIGTERM)
-        await here.running.logged(b"event=drained")
-        await rested.say(opening("0c"))
+        await here.running.wait_for_log(b"event=drained")
+        await rested.send_line(opening("0c"))
         assert (await rested.line()).startswith(b"BUSY")
-        await rested.say(opening("0d"))
+        await rested.send_line(opening("0d"))
         assert [await bad.line(), await rested.line()] == [b"FIN", b"FIN"]
         assert sum(here.openings.values()) == 0
 
@@ -224,9 +224,9 @@
                 here.running.process.send_signal(signal.SIGHUP)
                 await anyio.sleep(0.02)
             with anyio.fail_after(4.0):
-                await here.running.logged(b"server=s-1 state=draining")
-            assert here.running.heard.count(b'event="reload failed"') <= 1
-            assert await here.crowd(5) == {"UP": 5} and here.openings["s-1"] == 0
+                await here.running.wait_for_log(b"server=s-1 state=draining")
+            assert here.running.log_read.count(b'event="reload failed"') <= 1
+            assert await here.connect_many(5) == {"UP": 5} and here.openings["s-1"] == 0
             tasks.cancel_scope.cancel()
 
 
@@ -255,8 +255,8 @@
             config.write_text(json.dumps(told))
             here.running.process.send_signal(signal.SIGHUP)
             with anyio.fail_after(5.0):
-                await here.running.logged(b'event="reload failed"')
-            assert await here.crowd(1, place) == {"UP": 1}
+                await here.running.wait_for_log(b'event="reload failed"')
+            assert await here.connect_many(1, place) == {"UP": 1}
 
 
 COLD_BUDGET = (
@@ -267,24 +267,24 @@
 async def test_a_server_whose_cordon_is_taken_back_is_cold_for_every_client(tmp_path: Path) -> None:
     """Operators restart it meanwhile; no list tells of that, and sixty clients come within the second."""
     async with site(tmp_path, count=3) as here:
-        found = re.search(rb"event=serving .*front=management .*:(\d+)", here.running.heard)
+        found = re.search(rb"event=serving .*front=management .*:(\d+)", here.running.log_read)
         assert found is not None
         address = int(found[1])
-        await here.crowd(30, "a")
+        await here.connect_many(30, "a")
         assert here.openings["s-1"] > 0
-        assert (await call(address, "POST /admin/cordon/s-1"))[0] == 200
+        assert (await http_call(address, "POST /admin/cordon/s-1"))[0] == 200
         out = here.openings["s-1"]
-        await here.crowd(30, "b")
+        await here.connect_many(30, "b")
         assert here.openings["s-1"] == out, "nothing new while it is out"
-        assert (await call(address, "POST /admin/uncordon/s-1"))[0] == 200
+        assert (await http_call(address, "POST /admin/uncordon/s-1"))[0] == 200
         back = anyio.current_time()
         while anyio.current_time() < back + 0.9:
-            assert (await here.crowd(1, f"c{sum(here.openings.values())}-"))["UP"] == 1
+            assert (await here.connect_many(1, f"c{sum(here.openings.values())}-"))["UP"] == 1
             await anyio.sleep(0.01)  # the log of thousands would fill its pipe, which nobody reads here
         assert 0 <= here.openings["s-1"] - out <= COLD_BUDGET
         with anyio.fail_after(5.0):  # unused for 5 s after the call back costs
             while here.openings["s-1"] == out:
-                await here.crowd(1, f"d{sum(here.openings.values())}-")
+                await here.connect_many(1, f"d{sum(here.openings.values())}-")
                 await anyio.sleep(0.01)
 
 
@@ -301,24 +301,24 @@
         for _ in range(2):
             await here.restart(0.0)
             with anyio.fail_after(READY):
-                while (await here.crowd(1, f"{anyio.current_time()}-"))["UP"] < 1:
+                while (await here.connect_many(1, f"{anyio.current_time()}-"))["UP"] < 1:
                     await anyio.sleep(0.05)
-            await here.running.logged(b"event=machines")
-            await here.kept()
-        assert not re.search(rb"event=stalled ms=(\d{4,})", here.running.heard), "a second and more"
+            await here.running.wait_for_log(b"event=machines")
+            await here.wait_stored()
+        assert not re.search(rb"event=stalled ms=(\d{4,})", here.running.log_read), "a second and more"
 
 
 async def test_a_drain_grace_of_a_second_is_kept_from_the_moment_it_is_told(tmp_path: Path) -> None:
     """Another customer's settings; clients come all the while."""
     rules = {**SETTINGS["rules"], "stop_sending_within": 1_000.0}
     async with site(tmp_path, count=3, rules=rules) as here:
-        await here.crowd(30, "a")
+        await here.connect_many(30, "a")
         for ident in ("s-1", "s-2"):
             here.lists.put(ident, state="leaving")
             told = anyio.current_time()
             while anyio.current_time() < told + 1.0:
-                await here.crowd(1, f"{ident}-{anyio.current_time()}-")
+                await here.connect_many(1, f"{ident}-{anyio.current_time()}-")
                 await anyio.sleep(0.02)  # as above
             late = here.openings[ident]
-            assert (await here.crowd(40, f"{ident}-late-"))["UP"] == 40
+            assert (await here.connect_many(40, f"{ident}-late-"))["UP"] == 40
             assert here.openings[ident] == late
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from puffinford.core.values import Machine, MachineList
+from puffinford.core.values import ServerEntries, ServerEntry
 from puffinford.interface import Health, Server, ServerState
 from puffinford.state import trust
 from puffinford.state.records import HealthRecord, ServerRecord, Stored
@@ -18,9 +18,9 @@
 times = st.floats(0, 4 * 86_400_000.0)
 
 
-def listed(version: int, full: bool = True, **states: ServerState) -> MachineList:
-    machines = [Machine(Server(ident, state=state), "127.0.0.1", 1) for ident, state in states.items()]
-    return MachineList(version, full, machines)
+def listed(version: int, full: bool = True, **states: ServerState) -> ServerEntries:
+    machines = [ServerEntry(Server(ident, state=state), "127.0.0.1", 1) for ident, state in states.items()]
+    return ServerEntries(version, full, machines)
 
 
 def kept(version: int, old: float, lost: int = 0, **states: str) -> Stored:
@@ -52,14 +52,22 @@
     assert trust.age(NOW + 2_000.0, NOW) == 0.0
     assert trust.age(NOW + HOUR, NOW) == HOUR
     start = merge(kept(5, -2 * HOUR, a="active"), None, NOW, 0.0, WEIGHTS, 0.0)
-    assert (start.age, start.restored.most) == (HOUR, 2)
+    assert (start.age, start.restored.max_attempts) == (HOUR, 2)
 
 
 def test_what_was_learned_ends_with_its_own_time() -> None:
-    slow = Health("a", NOW, slow_until=NOW + 3_000.0, late_at=NOW, delay=400.0, room=5.0, room_at=NOW)
+    slow = Health(
+        "a",
+        NOW,
+        slow_until=NOW + 3_000.0,
+        late_report_at=NOW,
+        delay=400.0,
+        capacity_estimate=5.0,
+        capacity_estimated_at=NOW,
+    )
     soon, later = trust.weigh(slow, NOW + 2_000.0, WEIGHTS), trust.weigh(slow, NOW + 20_000.0, WEIGHTS)
-    assert soon is not None and soon.slow_until and soon.room == 5.0
-    assert later is not None and not later.slow_until and later.room == 5.0
+    assert soon is not None and soon.slow_until and soon.capacity_estimate == 5.0
+    assert later is not None and not later.slow_until and later.capacity_estimate == 5.0
     assert trust.weigh(slow, NOW + 120_000.0, WEIGHTS) is None
     assert trust.weigh(Health("a", NOW + HOUR, failures=2), NOW, WEIGHTS) is None, "of a time to come"
 
@@ -71,14 +79,14 @@
     st.sampled_from([0.0, 5_000.0, -77.0]),
 )
 def test_records_bring_back_what_was_kept(
-    failures: int, retry: float, slow: float, started: float, room: float | None, offset: float
+    failures: int, retry: float, slow: float, started: float, capacity_estimate: float | None, offset: float
 ) -> None:
-    health = Health("a", 3e12, failures, retry, None, slow, 0.0, 7.0, room, 0.0, None)
+    health = Health("a", 3e12, failures, retry, None, slow, 0.0, 7.0, capacity_estimate, 0.0, None)
     record = to_health_record(health, offset)
     back = to_health(record, 3e12 + offset, offset)
-    assert (back.failures, back.room, back.told_at) == (failures, room, 3e12)
+    assert (back.failures, back.capacity_estimate, back.observed_at) == (failures, capacity_estimate, 3e12)
     assert abs(back.retry_at - retry) < 100.0 and isinstance(record, HealthRecord)
-    machine = Machine(Server("a", "z", "k", 3, DRAINING, 2.0, float(started)), "::1", 8, "channels")
+    machine = ServerEntry(Server("a", "z", "k", 3, DRAINING, 2.0, float(started)), "::1", 8, "channels")
     again = to_machine(to_record(machine, 4, offset), offset, float("inf"))
     assert (
         again is not None
@@ -91,11 +99,11 @@
     stored = kept(7, 20_000.0, a="active", b="leaving", c="left")
     older = listed(6, a=LIVE, b=LIVE, c=LIVE, d=LIVE)
     start = merge(stored, older, NOW, 0.0, WEIGHTS, 0.0)
-    states = {m.server.id: m.server.state for m in start.restored.machines.machines}
-    assert states == {"a": LIVE, "b": DRAINING} and start.restored.unproven == {"a"}
+    states = {m.server.id: m.server.state for m in start.restored.entries.entries}
+    assert states == {"a": LIVE, "b": DRAINING} and start.restored.unverified == {"a"}
     assert (start.source, start.version) == ("store", 7)
     newer = merge(stored, listed(8, a=DRAINING, c=LIVE), NOW, 0.0, WEIGHTS, 0.0)
-    states = {m.server.id: m.server.state for m in newer.restored.machines.machines}
+    states = {m.server.id: m.server.state for m in newer.restored.entries.entries}
     assert states == {"a": DRAINING, "c": LIVE} and (newer.source, newer.version) == ("known", 8)
 
 
@@ -103,7 +111,7 @@
     """Short claims at servers busy with everybody's return were cut, and made again, for nothing."""
     young = merge(kept(7, 9_000.0, a="active"), None, NOW, 0.0, WEIGHTS, 0.0)
     older = merge(kept(7, 11_000.0, a="active"), None, NOW, 0.0, WEIGHTS, 0.0)
-    assert not young.restored.unproven and older.restored.unproven == {"a"}
+    assert not young.restored.unverified and older.restored.unverified == {"a"}
 
 
 def test_a_store_that_lost_an_entry_asks_for_the_whole_list() -> None:
@@ -113,33 +121,33 @@
 
 
 def test_an_older_answer_brings_its_bad_news_at_once_and_the_rest_when_said_twice() -> None:
-    guard = ListGuard(9, listed(9, a=LIVE, b=LIVE, c=LIVE).machines)
+    guard = ListGuard(9, listed(9, a=LIVE, b=LIVE, c=LIVE).entries)
     first = guard.judge(listed(2, a=LIVE, b=DRAINING, x=LIVE))
-    assert first.version is None and first.machines is not None and not first.machines.full
-    assert {m.server.id: m.server.state for m in first.machines.machines} == {"b": DRAINING, "c": GONE}
+    assert first.version is None and first.entries is not None and not first.entries.full
+    assert {m.server.id: m.server.state for m in first.entries.entries} == {"b": DRAINING, "c": GONE}
     second = guard.judge(listed(2, a=LIVE, b=DRAINING, x=LIVE))
-    assert second.version == 2 and second.machines is not None and len(second.machines.machines) == 3
+    assert second.version == 2 and second.entries is not None and len(second.entries.entries) == 3
     assert guard.judge(listed(3, False, x=DRAINING)).version == 3
 
 
 def test_changes_that_cannot_be_placed_ask_for_the_whole_list() -> None:
-    guard = ListGuard(9, listed(9, a=LIVE).machines)
+    guard = ListGuard(9, listed(9, a=LIVE).entries)
     doubted = guard.judge(listed(4, False, a=LIVE))
-    assert (doubted.machines, doubted.version, guard.version) == (None, None, None)
+    assert (doubted.entries, doubted.version, guard.version) == (None, None, None)
     assert guard.judge(listed(10, a=LIVE)).version == 10 and guard.version == 10
     guard.moved()
-    assert guard.judge(listed(1, False, a=LIVE)).machines is None, "changes against another's list"
+    assert guard.judge(listed(1, False, a=LIVE)).entries is None, "changes against another's list"
     assert guard.judge(listed(1, a=LIVE)).version == 1
 
 
 def test_an_answer_at_odds_with_itself_is_told_the_worse() -> None:
-    machines = listed(1, a=DRAINING).machines + listed(1, a=LIVE, b=LIVE).machines
-    taken = ListGuard().judge(MachineList(1, True, machines)).machines
+    machines = listed(1, a=DRAINING).entries + listed(1, a=LIVE, b=LIVE).entries
+    taken = ListGuard().judge(ServerEntries(1, True, machines)).entries
     assert taken is not None
-    assert {m.server.id: m.server.state for m in taken.machines} == {"a": DRAINING, "b": LIVE}
+    assert {m.server.id: m.server.state for m in taken.entries} == {"a": DRAINING, "b": LIVE}
 
 
 def test_a_list_that_shares_nothing_with_the_stored_one_replaces_it() -> None:
-    guard = ListGuard(3, listed(3, a=LIVE).machines)
+    guard = ListGuard(3, listed(3, a=LIVE).entries)
     taken = guard.judge(listed(4, x=LIVE, y=LIVE))
-    assert taken.machines is not None and taken.machines.full and taken.version == 4
+    assert taken.entries is not None and taken.entries.full and taken.version == 4
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,12 +13,12 @@
 import pytest
 
 from puffinford.core.clock import SettableClock
-from puffinford.core.places import state_path
-from puffinford.fronts.accepting import Door
+from puffinford.core.state_path import state_path
+from puffinford.fronts.accepting import ConnectionTracker
 from puffinford.fronts.channels import codec
-from puffinford.fronts.sockets import Budget
-from puffinford.management.versions import OWN_FILES, Versions
-from tests.stage import ChannelPeer, Peer, call, discovery, echo, opening, program, stage
+from puffinford.fronts.sockets import DescriptorBudget
+from puffinford.management.versions import OWN_DESCRIPTORS, VersionRegistry
+from tests.harness import ChannelPeer, Peer, discovery, echo, harness, http_call, opening, program
 from tests.test_program import FACTS
 
 
@@ -33,7 +33,7 @@
     platform = socket.create_server(("127.0.0.1", 0))
     port, fd = platform.getsockname()[1], platform.fileno()
     asked: list[bytes] = []
-    async with stage() as here:
+    async with harness() as here:
         server = {"id": "s-1", "addr": f"127.0.0.1:{await here.listen(lambda s: echo(Peer(s)))}"}
         told = {
             "listen": f"127.0.0.1:{port}",
@@ -44,36 +44,36 @@
 
         async def client(job: str) -> Peer:
             peer = Peer(await anyio.connect_tcp("127.0.0.1", port))
-            await peer.say(opening(job))
+            await peer.send_line(opening(job))
             assert await peer.line() == b"UP r1\r\n"
             return peer
 
         async with program(config, fds=[fd], **env) as old:
-            await old.logged(b"list=replace")
+            await old.wait_for_log(b"list=replace")
             first = await client("0a")
             if killed_first:
                 async with program(config, fds=[fd], **env) as dead:
                     # From the store it asks for what is new alone: the list was waited for in vain then.
-                    await dead.logged(b"event=discovery ")
+                    await dead.wait_for_log(b"event=discovery ")
                     dead.process.kill()
                     await dead.process.wait()
             async with program(config, fds=[fd], **env) as new:
                 address = await new.port(b"management")
-                while (await call(address, "GET /admin/health"))[0] != 200:
+                while (await http_call(address, "GET /admin/health"))[0] != 200:
                     await anyio.sleep(0.01)
                 half = Peer(await anyio.connect_tcp("127.0.0.1", port))
                 old.process.send_signal(signal.SIGTERM)
-                await old.logged(b"event=succeeded")
+                await old.wait_for_log(b"event=succeeded")
                 assert [await first.line(), await first.line()] == [b"MOVE\r\n", b"FIN"]
                 await first.fin()
-                await half.say(opening("0b"))
+                await half.send_line(opening("0b"))
                 assert await half.line() == b"UP r1\r\n", "whoever had accepted it, it is served"
                 second = await client("0c")
                 assert await old.process.wait() == 0, "it ends by itself"
-                await second.say(b"on")
+                await second.send_line(b"on")
                 assert await second.line() == b"on\r\n"
                 new.process.send_signal(signal.SIGTERM)
-                await new.logged(b"event=stopping")
+                await new.wait_for_log(b"event=stopping")
                 await (await client("0d")).fin()  # no successor: arrivals are served on
                 new.process.kill()
     platform.close()
@@ -89,7 +89,7 @@
     place.bind(("127.0.0.1", 0))
     port, fd = place.getsockname()[1], platform.fileno()
     channels.write_text(f"section channels\n enabled on\n listen 127.0.0.1:{port}\n")
-    async with stage() as here:
+    async with harness() as here:
         server = {"id": "s-1", "addr": f"127.0.0.1:{await here.listen(lambda s: echo(Peer(s)))}"}
         told = {"listen": "127.0.0.1:1", "discovery": f"127.0.0.1:{await here.listen(discovery([], server))}"}
         config.write_text(json.dumps({**told, "settings": FACTS}))
@@ -103,19 +103,19 @@
             return peer
 
         async with program(config, *words, fds=[fd], **env) as old:
-            await old.logged(b"list=replace")
+            await old.wait_for_log(b"list=replace")
             first = await client("0a")
             async with program(config, *words, fds=[fd], **env) as new:
                 address = await new.port(b"management")
-                while (await call(address, "GET /admin/health"))[0] != 200:
+                while (await http_call(address, "GET /admin/health"))[0] != 200:
                     await anyio.sleep(0.01)
                 old.process.send_signal(signal.SIGTERM)
-                await old.logged(b"event=succeeded front=channels")
+                await old.wait_for_log(b"event=succeeded front=channels")
                 assert await first.next() == codec.ChannelRequest(1, codec.MOVE, False)
                 await first.stream.aclose()
                 assert await old.process.wait() == 0
                 await client("0b")
-                await new.logged(b"event=up job=0b")
+                await new.wait_for_log(b"event=up job=0b")
                 new.process.kill()
     platform.close()
     place.close()
@@ -123,23 +123,27 @@
 
 def test_versions_share_their_limits_and_a_dead_one_counts_for_nothing(tmp_path: Path) -> None:
     path = state_path(str(tmp_path), "n/1")
-    old, new = Versions(path), Versions(path)
+    old, new = VersionRegistry(path), VersionRegistry(path)
     old.register()
     new.register()
-    budget = Budget(200, 50)
-    budget.elsewhere = lambda: old.held_elsewhere
-    door = Door(SettableClock(), budget)
-    new.tell_held(140)
-    old.look()
-    assert (old.held_elsewhere, old.succeeded, new.succeeding) == (140 + OWN_FILES, False, True)
-    assert not door.make_room()
-    new.tell_ready(True)
-    assert old.succeeded and not new.succeeded
+    budget = DescriptorBudget(200, 50)
+    budget.used_elsewhere = lambda: old.descriptors_elsewhere
+    tracker = ConnectionTracker(SettableClock(), budget)
+    new.publish_sockets(140)
+    old.refresh()
+    assert (old.descriptors_elsewhere, old.has_ready_successor, new.has_predecessor) == (
+        140 + OWN_DESCRIPTORS,
+        False,
+        True,
+    )
+    assert not tracker.ensure_capacity()
+    new.publish_ready(True)
+    assert old.has_ready_successor and not new.has_ready_successor
     os.close(new._file)
     new._view.close()  # type: ignore[union-attr]
-    old.look()
-    assert (old.held_elsewhere, old.succeeded) == (0, False)
-    assert door.make_room()
+    old.refresh()
+    assert (old.descriptors_elsewhere, old.has_ready_successor) == (0, False)
+    assert tracker.ensure_capacity()
 
 
 @pytest.mark.anyio
@@ -149,7 +153,7 @@
     state.mkdir()
     platform = socket.create_server(("127.0.0.1", 0))
     port, fd = platform.getsockname()[1], platform.fileno()
-    async with stage() as here:
+    async with harness() as here:
         server = {"id": "s-1", "addr": f"127.0.0.1:{await here.listen(lambda s: echo(Peer(s)))}"}
         told = {
             "listen": f"127.0.0.1:{port}",
@@ -158,14 +162,14 @@
         config.write_text(json.dumps({**told, "settings": FACTS}))
         env = {"TMPDIR": str(state), "EDGE_SOCKET_FD": str(fd), "EDGE_MGMT": "127.0.0.1:0"}
         async with program(config, fds=[fd], **env) as old:
-            await old.logged(b"list=replace")
+            await old.wait_for_log(b"list=replace")
             resting = [Peer(await anyio.connect_tcp("127.0.0.1", port)) for _ in range(24)]
             for peer in resting:
-                await peer.say(b"PING")
+                await peer.send_line(b"PING")
                 assert await peer.line() == b"PONG\r\n"
             async with program(config, fds=[fd], **env) as new:
                 address = await new.port(b"management")
-                while (await call(address, "GET /admin/health"))[0] != 200:
+                while (await http_call(address, "GET /admin/health"))[0] != 200:
                     await anyio.sleep(0.01)
                 old.process.send_signal(signal.SIGTERM)
                 kill = anyio.current_time() + FACTS["classes"][0]["give_up"] / 1_000.0 + 0.7
@@ -173,7 +177,7 @@
                 async def ask(peer: Peer, number: int) -> None:
                     await anyio.sleep_until(kill + 0.02 - 1.1 * number / len(resting))
                     with contextlib.suppress(anyio.BrokenResourceError):
-                        await peer.say(opening(f"0{number}"))
+                        await peer.send_line(opening(f"0{number}"))
 
                 async def hear(peer: Peer) -> None:
                     answer = (await peer.line()).split()[0]
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 
 from puffinford.core.clock import SettableClock
-from puffinford.core.starts import SAME_START, StartTimes
-from puffinford.machines.entries import machine_list
+from puffinford.core.start_times import SAME_START_TOLERANCE_MS, StartTimes
+from puffinford.server_list.entries import parse_server_list
 from puffinford.state.records import ServerRecord
 from puffinford.state.recovery import to_machine
 from tests.processes import site, unix_ms
@@ -26,10 +26,10 @@
     """Each entry was taken for a start in the future, and nobody was served until then."""
     async with site(tmp_path, count=3, started=40_000.0) as here:
         for step in (-HOUR, -30.0, HOUR, 30.0, 0.0):
-            here.plan.tell(step)
+            here.plan.apply(step)
             for ident in here.servers:
                 await here.told(ident)
-            assert await here.crowd(20, f"{step}-") == {"UP": 20}, f"the clock is {step} s off"
+            assert await here.connect_many(20, f"{step}-") == {"UP": 20}, f"the clock is {step} s off"
 
 
 @pytest.mark.anyio
@@ -38,10 +38,10 @@
     async with site(tmp_path, count=4, started=40_000.0) as here:
         starts = [(HOUR, 0.0), (30.0, 0.0), (-HOUR, -HOUR), (-5.0, 0.0)]
         for ident, (step, told) in zip(here.servers, starts, strict=True):
-            here.plan.tell(step)
+            here.plan.apply(step)
             await here.told(ident, started_ms=unix_ms() + told * 1_000.0)
             before = here.openings[ident]
-            await here.crowd(60, ident)
+            await here.connect_many(60, ident)
             assert here.openings[ident] - before <= BUDGET, f"{step} s here, {told} s there"
 
 
@@ -50,11 +50,11 @@
     """One that started after the clock had gone back was cold until the clock had come there again."""
     rules = {"cold_from": 0.13, "ramp_time": 500.0, "fall": 1_000.0, "tip_multiple": 3.0}
     async with site(tmp_path, count=2, started=40_000.0, rules=rules) as here:
-        here.plan.tell(-HOUR)
+        here.plan.apply(-HOUR)
         await here.told("s-1", started_ms=unix_ms())
         with anyio.fail_after(10):
             while here.openings["s-1"] < 30:
-                await here.crowd(1, f"{sum(here.openings.values())}-")
+                await here.connect_many(1, f"{sum(here.openings.values())}-")
 
 
 @pytest.mark.anyio
@@ -65,14 +65,14 @@
     """
     async with site(tmp_path, count=4, started=40_000.0) as here:
         await here.told("s-2", started_ms=unix_ms())
-        await here.kept()
+        await here.wait_stored()
         await here.restart(step)
-        await here.running.logged(b"event=discovery version")
-        assert await here.crowd(60) == {"UP": 60}, "the others are warm"
+        await here.running.wait_for_log(b"event=discovery version")
+        assert await here.connect_many(60) == {"UP": 60}, "the others are warm"
         assert here.openings["s-2"] <= BUDGET, "it is cold still"
         here.lists.become("absent")
         await here.restart(0.0)
-        found = re.search(rb"event=restored source=store .*age_s=([\d.]+)", here.running.heard)
+        found = re.search(rb"event=restored source=store .*age_s=([\d.]+)", here.running.log_read)
         assert found is not None and float(found[1]) < 10.0
 
 
@@ -99,14 +99,16 @@
     starts = StartTimes(clock)
     moments: list[float] = []
     for step, follows, passed in lives:
-        clock.advance(passed + SAME_START)
+        clock.advance(passed + SAME_START_TOLERANCE_MS)
         clock.ahead = step
         unix_ms = clock.now() + (step if follows else 0.0)
-        moments.append(starts.of("s-1", unix_ms))
-        assert clock.now() - SAME_START <= moments[-1] <= clock.now(), "told at once, it is young"
+        moments.append(starts.local_time("s-1", unix_ms))
+        assert clock.now() - SAME_START_TOLERANCE_MS <= moments[-1] <= clock.now(), (
+            "told at once, it is young"
+        )
         clock.ahead = -step
-        assert starts.of("s-1", unix_ms) == moments[-1]
-    if all(passed > SAME_START for _, _, passed in lives):
+        assert starts.local_time("s-1", unix_ms) == moments[-1]
+    if all(passed > SAME_START_TOLERANCE_MS for _, _, passed in lives):
         assert moments == sorted(moments)
 
 
@@ -123,7 +125,7 @@
             {"id": f"s-{n}", "addr": "127.0.0.1:1", "started_ms": true - age} for n, age in enumerate(ages)
         ],
     }
-    machines = machine_list(told, StartTimes(clock), pytest.fail).machines
+    machines = parse_server_list(told, StartTimes(clock), pytest.fail).entries
     younger = [clock.now() - machine.server.started for machine in machines]
     assert younger == [38_000.0, 88_000.0, 0.0]
 
