--- a/puffinford/core/answers.py
+++ b/puffinford/core/answers.py
@@ -39,13 +39,13 @@
         await client.end()
 
     def _log(self, answer: Busy | Failed, opening: Opening, request: ClientRequest | None) -> None:
-        told: dict[str, object] = {"job": opening.request_id, "key": opening.key, "cls": opening.cls}
+        told: dict[str, object] = {"request": opening.request_id, "key": opening.key, "cls": opening.cls}
         told["tenant"] = opening.tenant or ""
         told["answer"], told["why"] = (
             ("busy", answer.reason) if isinstance(answer, Busy) else ("failed", answer.reason)
         )
         if request is not None:
-            told["claims"] = request.attempts
+            told["attempts"] = request.attempts
             told["waited_ms"] = round(self._context.clock.now() - request.deadline + opening.wait)
         log.info("answer", extra=told)
 
--- a/puffinford/core/attempts.py
+++ b/puffinford/core/attempts.py
@@ -53,7 +53,7 @@
             number = request.attempts
             entry = self._servers.get(action.server)
             if request.attempt is not None:
-                log.error("second claim withheld", extra={"job": request.id, "server": action.server})
+                log.error("second attempt withheld", extra={"request": request.id, "server": action.server})
             elif entry is None:
                 request.attempts += 1
                 result = it.Result.CONNECT_FAILED
@@ -137,10 +137,15 @@
         self, request: ClientRequest, attempt: ServerAttempt, ended: AttemptEnded, latency: float
     ) -> None:
         server = attempt.entry.server.id
-        told = {"job": request.id, "server": server, "result": ended.result.value, "number": attempt.number}
+        told = {
+            "request": request.id,
+            "server": server,
+            "result": ended.result.value,
+            "number": attempt.number,
+        }
         if ended.result is it.Result.ERROR:
             told["figures"] = str(request.opening.parameters)[:300]  # the opening may be at fault
-        log.info("claim ended", extra={**told, "ms": round(latency, 1)})
+        log.info("attempt ended", extra={**told, "ms": round(latency, 1)})
 
     async def _pass_all(self, request: ClientRequest, messages: tuple[Message, ...]) -> None:
         try:
@@ -156,7 +161,7 @@
             entry = self._servers.get(ident)
             left = request.deadline - self._context.clock.now()
             if entry is None or left <= 0:
-                told = {"job": request.id, "server": ident, "known": entry is not None}
+                told = {"request": request.id, "server": ident, "known": entry is not None}
                 log.warning("not resumed", extra=told)
                 self._completions.finish(request.id, Completion(Failed("cannot be resumed")))
                 return
@@ -167,7 +172,9 @@
                 await self._relay.run(request, attempt, up)
                 return
             request.attempt = None
-            log.info("claim ended", extra={"job": request.id, "server": ident, "result": ended.result.value})
+            log.info(
+                "attempt ended", extra={"request": request.id, "server": ident, "result": ended.result.value}
+            )
             if ended.result not in (it.Result.FULL, it.Result.CONNECT_FAILED):
                 self._completions.finish(request.id, Completion(Failed("cannot be resumed")))
                 return
--- a/puffinford/core/completions.py
+++ b/puffinford/core/completions.py
@@ -50,8 +50,8 @@
             observer.on_closed(request.key, request.opening.cls, server, latency, cut=cut)
         report = self._reports.of_answer(server, text)
         self._context.dispatch(it.Outcome(request.id, attempt.number, server, result, latency, True, report))
-        told = {"job": request.id, "server": server, "result": result.value, "moved": completion.move}
-        log.info("end", extra={**told, "stood_ms": round(latency)})
+        told = {"request": request.id, "server": server, "result": result.value, "moved": completion.move}
+        log.info("end", extra={**told, "established_ms": round(latency)})
 
     def fault(self, request: ClientRequest) -> None:
         """End a request in which a side failed in a way that it may not."""
--- a/puffinford/core/drain.py
+++ b/puffinford/core/drain.py
@@ -33,7 +33,7 @@
     async def _move_evenly(self, over: float) -> None:
         clock = self._context.clock
         end = clock.now() + over
-        log.info("drain", extra={"standing": len(self._context.requests.established())})
+        log.info("drain", extra={"connections": len(self._context.requests.established())})
         while (left := end - clock.now()) > 0:
             standing = self._context.requests.established()
             if standing:
--- a/puffinford/core/exchange.py
+++ b/puffinford/core/exchange.py
@@ -277,7 +277,7 @@
             await self._serve(request)
         except Exception:
             # Guards the one final answer, and the module's counts, against a fault in a side.
-            log.exception("job failed", extra={"job": request.id})
+            log.exception("request failed", extra={"request": request.id})
             self._completions.fault(request)
         finally:
             del self._requests[request.id]
@@ -314,7 +314,7 @@
             await request.up.wait()
             return
         if request.completion is None and not request.is_established:
-            log.error("unanswered", extra={"job": request.id})
+            log.error("unanswered", extra={"request": request.id})
             self._completions.abandon(request, Completion(Failed("out of time", timed_out=True)))
 
     async def drain(self, settle: float, over: float) -> None:
--- a/puffinford/core/forwarding.py
+++ b/puffinford/core/forwarding.py
@@ -115,8 +115,8 @@
     def _log_up(self, request: ClientRequest, attempt: ServerAttempt) -> None:
         opening = request.opening
         server = attempt.entry.server.id
-        told = {"job": request.id, "key": opening.key, "group": opening.group or "", "server": server}
-        log.info("up", extra={**told, "claims": attempt.number + 1})
+        told = {"request": request.id, "key": opening.key, "group": opening.group or "", "server": server}
+        log.info("up", extra={**told, "attempts": attempt.number + 1})
 
     async def _answer_up(self, request: ClientRequest, attempt: ServerAttempt, up: Up) -> bool:
         """Whether the client has taken its UP."""
--- a/puffinford/core/servers.py
+++ b/puffinford/core/servers.py
@@ -77,11 +77,11 @@
 
     def _log_entries(self, entries: ServerEntries, kind: it.ListKind) -> None:
         if len(entries.entries) > NAMED_MOST:
-            log.info("machines", extra={"entries": len(entries.entries), "list": kind.value})
+            log.info("servers", extra={"entries": len(entries.entries), "list": kind.value})
         now = self._context.clock.now()
         for entry in entries.entries[:NAMED_MOST]:
             server = entry.server
             up_s = round((now - server.started) / 1_000.0, 1) if server.started else "long"
             told = {"server": server.id, "state": server.state.value, "up_s": up_s, "list": kind.value}
             told |= {"zone": server.zone, "kind": server.kind, "weight": server.weight}
-            log.info("machine", extra=told)
+            log.info("server", extra=told)
--- a/puffinford/core/silent_servers.py
+++ b/puffinford/core/silent_servers.py
@@ -31,7 +31,7 @@
             silence = attempt.unanswered.silence(now)
             ident = attempt.entry.server.id
             if silence > SILENCE_LIMIT_MS or ident in hushed:
-                log.warning("silent", extra={"job": request.id, "server": ident, "ms": round(silence)})
+                log.warning("silent", extra={"request": request.id, "server": ident, "ms": round(silence)})
                 self._completions.close(request, Completion(move=True), it.Result.RESET)
 
     def _hushed(self, standing: list[tuple[ClientRequest, ServerAttempt]], now: float) -> set[str]:
--- a/puffinford/fronts/accepting.py
+++ b/puffinford/fronts/accepting.py
@@ -217,7 +217,9 @@
             if tracker.ensure_capacity():
                 tasks.start_soon(guarded, stream)
             else:
-                limited_log.warning("no room", open=tracker.budget.used, limit=tracker.budget.limit)
+                limited_log.warning(
+                    "connection limit reached", open=tracker.budget.used, limit=tracker.budget.limit
+                )
                 if turn_away is not None and turned < TURNED_AWAY:
                     turned += 1
                     tasks.start_soon(all_answered, stream)
--- a/puffinford/fronts/channels/client.py
+++ b/puffinford/fronts/channels/client.py
@@ -16,7 +16,7 @@
 from puffinford.fronts.sockets import TcpStream
 
 # The name of before: operators find these lines by `from`.
-log = logging.getLogger("puffinford.fronts.channels.submitter")
+log = logging.getLogger("puffinford.fronts.channels.client")
 
 
 class ChannelClientHandler:
@@ -41,7 +41,7 @@
                         await self._exchange.serve(opening, connection)
                     except Exception:
                         # Guards the connection's other channels against one request's fault.
-                        log.exception("job failed", extra={"job": opening.request_id})
+                        log.exception("request failed", extra={"request": opening.request_id})
 
                 requests.start_soon(serve)
 
--- a/puffinford/fronts/lines/client.py
+++ b/puffinford/fronts/lines/client.py
@@ -14,7 +14,7 @@
 from puffinford.logs import RateLimitedLog
 
 # The name of before: operators find these lines by `from`.
-limited_log = RateLimitedLog(logging.getLogger("puffinford.fronts.lines.submitter"))
+limited_log = RateLimitedLog(logging.getLogger("puffinford.fronts.lines.client"))
 
 # A connection that has sent no whole line by then is ended. Bad clients must hear within 3 s, and sound ones
 # may write their line in pieces over 2 s.
--- a/puffinford/rebalance/service.py
+++ b/puffinford/rebalance/service.py
@@ -158,7 +158,7 @@
         log.info(
             "rebalance move",
             extra={
-                "job": planned.job,
+                "request": planned.job,
                 "server": planned.source,
                 "to": planned.target,
                 "gain": round(planned.gain, 2),
--- a/puffinford/relay/service.py
+++ b/puffinford/relay/service.py
@@ -122,7 +122,7 @@
         version, doubt = self.relay.heard(heard, self._clock.now())
         if doubt and self._clock.now() >= self._doubted_at + FIGURES_EVERY:
             self._doubted_at = self._clock.now()
-            log.warning("upstream doubted", extra={"why": doubt})
+            log.warning("upstream suspect", extra={"why": doubt})
         return version
 
     def _call(self, caller: Caller, call: Call) -> Response | None:
--- a/puffinford/serve.py
+++ b/puffinford/serve.py
@@ -130,7 +130,7 @@
         try:
             self._versions.register()
         except OSError as exc:
-            log.error("alone", extra={"error": str(exc)})
+            log.error("version coordination unavailable", extra={"error": str(exc)})
         self._cordons.refresh()
         with anyio.open_signal_receiver(*signums) as signals:
             # Guards who comes at once against a signal that nobody obeys yet: its default ends the process.
--- a/puffinford/state/keeper.py
+++ b/puffinford/state/keeper.py
@@ -166,7 +166,7 @@
                 "entries": len(restored.entries.entries),
                 "age_s": round(begun.age / 1_000.0, 1),
                 "at_once": restored.max_attempts or "any",
-                "patience_ms": round(restored.attempt_timeout),
+                "attempt_timeout_ms": round(restored.attempt_timeout),
                 "learned": len(restored.health),
             },
         )
--- a/puffinford/state/list_client.py
+++ b/puffinford/state/list_client.py
@@ -96,7 +96,7 @@
             self._guard.moved()  # the file counts anew in each process, and is the operators' word
         taken = self._guard.judge(machines)
         if taken.note:
-            log.warning("discovery doubted", extra={"why": taken.note})
+            log.warning("discovery suspect", extra={"why": taken.note})
         if taken.entries is not None:
             self._exchange.take_list(taken.entries)
             self._note(taken.entries)
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -145,7 +145,7 @@
         assert word == b"BUSY" and 750 <= int(wait) <= 1_500
         assert await client.line() == b"FIN"
     (told,) = [vars(r) for r in caplog.records if r.getMessage() == "answer"]
-    assert (told["key"], told["answer"], told["claims"]) == ("7f3a", "busy", 2)
+    assert (told["key"], told["answer"], told["attempts"]) == ("7f3a", "busy", 2)
     assert told["why"] == "every server unreachable" and told["waited_ms"] == 0
 
 
--- a/tests/test_relay_age.py
+++ b/tests/test_relay_age.py
@@ -311,7 +311,7 @@
         assert here.state is ServerState.LIVE, "balancers keep their last list"
         said = [record.getMessage() for record in caplog.records]
         assert said.count("stale") == 1 and said.count("discovery failed") <= 4, "each side in 10 s"
-        assert said.count("upstream doubted") <= 1 and source.calls <= 80
+        assert said.count("upstream suspect") <= 1 and source.calls <= 80
         source.bad = b""
         source.drain()
         assert await here.pass_time(TOLD, here.knows) < TOLD
--- a/tests/test_relay_processes.py
+++ b/tests/test_relay_processes.py
@@ -23,7 +23,7 @@
 
 pytestmark = pytest.mark.anyio
 FACTS: dict[str, Any] = {"classes": [{"name": "price-lookup", "give_up": 2_000.0, "repeat": "idempotent"}]}
-LEAVING = b"event=machine .*server=s-1 state=draining"
+LEAVING = b"event=server .*server=s-1 state=draining"
 
 
 class Servers:
@@ -82,7 +82,7 @@
         config.write_text(json.dumps(told))
         running = await self._start(config, "serve", "--settings", str(conf))
         number = await running.port(b"lines")
-        await running.wait_for_log(b"event=machine .*server=s-2 ")
+        await running.wait_for_log(b"event=server .*server=s-2 ")
         return running, number
 
     async def _start(self, config: Path, *words: str) -> Program:
@@ -230,7 +230,7 @@
         assert (await ask(port))[1]["servers"][0]["state"] == "active", "what the balancer must not believe"
         # Its other relay stands still, so that the older list is all that it hears.
         second.process.send_signal(signal.SIGSTOP)
-        await balancer[0].wait_for_log(b'event="discovery doubted" .*version 2 after 51')
+        await balancer[0].wait_for_log(b'event="discovery suspect" .*version 2 after 51')
         second.process.send_signal(signal.SIGCONT)
         here.source.put("s-1", weight=2.0)
         await balancer[0].wait_for_log(LEAVING)
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -207,7 +207,7 @@
     """The soak's seed 9004: a balancer was blamed for connections of a server that turned sound meanwhile.
 
     The story turned gw-5 from `dropping` to `sound` at 5.08 s. It had answered UP just before, and reset the
-    connection 50 ms after that (the balancer's log: `result=reset stood_ms=57`), as a sound server; the
+    connection 50 ms after that (the balancer's log: `result=reset established_ms=57`), as a sound server; the
     checker went by the state of that moment. Kept in four plays of five, for it takes an UP in these 50 ms.
     A connection that its balancer cuts meanwhile is none of the server's.
     """
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -121,7 +121,7 @@
             await first.process.wait()
         site.discovery.become("older")
         async with site.program() as second:
-            await has_logged(second, b"source=store", b'event="discovery doubted" why="version 1 after 2"')
+            await has_logged(second, b"source=store", b'event="discovery suspect" why="version 1 after 2"')
             await has_logged(second, b"event=discovery version=1", b"list=replace")
             second.process.kill()
 
@@ -173,7 +173,7 @@
                 job += 1
                 await site.client(port, f"{job:x}")
                 with anyio.move_on_after(0.02):
-                    await old.wait_for_log(b'event="claim ended" .*result=reset')
+                    await old.wait_for_log(b'event="attempt ended" .*result=reset')
                     break
             async with program(site.config, fds=[fd], **env) as new:
                 address = await new.port(b"management")
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -303,7 +303,7 @@
             with anyio.fail_after(READY):
                 while (await here.connect_many(1, f"{anyio.current_time()}-"))["UP"] < 1:
                     await anyio.sleep(0.05)
-            await here.running.wait_for_log(b"event=machines")
+            await here.running.wait_for_log(b"event=servers")
             await here.wait_stored()
         assert not re.search(rb"event=stalled ms=(\d{4,})", here.running.log_read), "a second and more"
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -115,7 +115,7 @@
                 await first.stream.aclose()
                 assert await old.process.wait() == 0
                 await client("0b")
-                await new.wait_for_log(b"event=up job=0b")
+                await new.wait_for_log(b"event=up request=0b")
                 new.process.kill()
     platform.close()
     place.close()
