--- a/puffinford/server_list/__init__.py
+++ b/puffinford/server_list/__init__.py
@@ -1,1 +1,1 @@
-"""The machine list: the discovery watch and the inventory file yield the same typed entries."""
+"""Sources of the server list: discovery or relays over HTTP, or an inventory file."""
--- a/puffinford/server_list/discovery.py
+++ b/puffinford/server_list/discovery.py
@@ -1,14 +1,8 @@
-"""A balancer's watch of the server list, at discovery itself or at relays of it.
+"""A balancer's watch of the server list, at discovery itself or at list relays.
 
-A change counts as told 6 s after discovery had it and could be reached, whatever calls failed. The bound on
-the list's staleness, in ms (docs/design-ends.md has the arithmetic): a watch that falls silent is out for
-WAIT + LATE + JITTER, a call beside it that hangs too for BESIDE + JITTER; after a failure the module pauses
-3,000 at most, and two calls that hang take as long each. Either leaves the answer itself 400 ms or more.
-
-Through relays, whose lists may be 2,000 old, the watch waits less: a change at 0 may be left out of an answer
-until 2,000; the next call falls silent for 1,500 + 400 + 100, the one beside it, at another relay, for
-1,000 + 100, and the third is answered by 5,500. After a failure the watch pauses 1,000, then 2,000 at most,
-by itself (docs/design-relay.md).
+The timings bound the age of the list: a change is applied within 6 s of the moment at which discovery had it
+and was reachable, whichever calls failed. docs/design-ends.md derives the bound for DIRECT_TIMING, and
+docs/design-relay.md the one for RELAYED_TIMING, where a relay's list may itself be 2 s old.
 """
 
 from __future__ import annotations
@@ -25,7 +19,7 @@
 from puffinford.server_list.entries import BadEntry, parse_server_list
 from puffinford.server_list.watch import (
     AGENT_RETRY_MS,
-    ANSWER_MOST,
+    MAX_ANSWER_BYTES,
     MAX_CONCURRENT_CALLS,
     CallFailed,
     ListWatch,
@@ -36,8 +30,8 @@
 __all__ = [
     "AGENT_RETRY_MS",
     "ANSWER_GRACE_MS",
-    "ANSWER_MOST",
     "DIRECT_TIMING",
+    "MAX_ANSWER_BYTES",
     "MAX_CONCURRENT_CALLS",
     "RELAYED_TIMING",
     "WATCH_WAIT_MS",
@@ -47,48 +41,52 @@
 
 log = logging.getLogger(__name__)
 
-DIRECT_TIMING = WatchTiming()  # at discovery itself; after a failure the module paces the calls
+DIRECT_TIMING = WatchTiming()  # after a failure the decision module schedules the next call
 RELAYED_TIMING = WatchTiming(wait=1_500, retry=RetryPolicy())
 WATCH_WAIT_MS = DIRECT_TIMING.wait
 ANSWER_GRACE_MS = DIRECT_TIMING.answer_grace
 
 
 class DiscoveryWatch(ListWatch[ServerEntries]):
-    """Calls discovery when the module asks; the module also paces the calls after a failure."""
+    """Watches discovery or relays while the decision module is subscribed.
+
+    Without relays the decision module also schedules the calls after a failure.
+    """
 
     def __init__(
         self,
         address: Address,
         version: int | None,
         clock: Clock,
-        take: Callable[[ServerEntries | None], int | None],
+        on_list: Callable[[ServerEntries | None], int | None],
         always_subscribed: bool = False,
         rng: random.Random | None = None,
         relays: Sequence[Address] = (),
-        starts: StartTimes | None = None,
+        start_times: StartTimes | None = None,
     ) -> None:
-        """`take` hears each answer, or None for a call that failed, and says from which version the next call
-        goes on: None for the whole list. `version` is where the first call goes on from. `always_subscribed`:
-        the module takes changes for told without asking. `relays` are asked in place of `address`, the
-        preferred one first. `starts` is shared with whatever else in this process reads lists.
+        """`on_list` receives each list, or None for a failed call, and returns the version from which the
+        next call continues (None: ask for the full list). The first call continues from `version`.
+        `always_subscribed` is for installations that announce changes without a subscription. `relays`, the
+        preferred one first, are called instead of `address`. `start_times` is shared by all sources of lists
+        in this process.
         """
-        self._starts = starts or StartTimes(clock)
+        self._start_times = start_times or StartTimes(clock)
         self._address = address
-        self.uses_relays = bool(relays)  # whether relays are asked in place of discovery
+        self.uses_relays = bool(relays)
         rng = rng or random.Random()
         timing = RELAYED_TIMING if relays else DIRECT_TIMING
         endpoints = EndpointSelector(relays or [address], rng, timing.retry or RetryPolicy())
 
-        def heard(heard: ReceivedAnswer[ServerEntries] | None) -> int | None:
-            return take(None if heard is None else heard.answer)
+        def on_answer(received: ReceivedAnswer[ServerEntries] | None) -> int | None:
+            return on_list(None if received is None else received.answer)
 
-        super().__init__(endpoints, version, clock, self._machines, heard, timing, always_subscribed, rng)
+        super().__init__(endpoints, version, clock, self._parse, on_answer, timing, always_subscribed, rng)
 
     def change_address(self, address: Address) -> None:
-        """Discovery answers at another address from now on: ask there at once, for the whole list.
+        """Use another address of discovery, and ask there at once for the full list.
 
-        Guards against the news between two addresses: a version of the old one may mean nothing at the
-        new one. The list held stays in force until the answer is there. Relays are not moved by this.
+        The full list is needed because versions of the old address may mean nothing at the new one. The list
+        held stays in use until the answer arrives. Relays are not affected.
         """
         if address == self._address:
             return
@@ -96,14 +94,14 @@
         if self.uses_relays:
             return
         log.info("discovery moved", extra={"to": "{}:{}".format(*address)})
-        self.restart(EndpointSelector([address], self._rng, RetryPolicy()))
+        self.use_endpoints(EndpointSelector([address], self._rng, RetryPolicy()))
 
-    def _machines(self, body: bytes) -> ServerEntries:
-        """The machines of a body; raises CallFailed."""
+    def _parse(self, body: bytes) -> ServerEntries:
+        """Parse the body of an answer; raises CallFailed."""
         try:
             return parse_server_list(
                 json.loads(body),
-                self._starts,
+                self._start_times,
                 lambda text: log.warning("discovery entry rejected", extra={"error": text}),
             )
         except (BadEntry, ValueError, RecursionError) as exc:
--- a/puffinford/server_list/entries.py
+++ b/puffinford/server_list/entries.py
@@ -1,4 +1,4 @@
-"""Entries of the machine list from plain named values, whatever file or service they came from."""
+"""Parses and validates entries of the server list, for every source: discovery, inventory, configuration."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 STATES_BY_NAME = {"active": ServerState.LIVE, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 FRONT_NAMES = ("lines", "channels")
-FIGURE_MOST = 1 << 53  # of an entry: what a float holds exactly; JSON may tell more than any float can
-VERSION_MOST = (1 << 63) - 1  # of a list: what a store holds
+MAX_NUMBER = 1 << 53  # in an entry: the largest integer up to which floats are exact
+MAX_VERSION = (1 << 63) - 1  # of a list: the largest that the state store holds
 
 
 class BadEntry(Exception):
-    """An entry or list in no known form; the text says what is wrong."""
+    """An entry or list is malformed; the text gives the reason."""
 
 
 def _text(entry: Mapping[str, Any], name: str, default: str | None = None) -> str:
     value = entry.get(name, default)
     if not is_text(value) or not value:
-        raise BadEntry(f"{name} is missing or no text")
+        raise BadEntry(f"{name} is missing or not text")
     return value
 
 
@@ -34,28 +34,29 @@
         try:
             value = float(value)
         except ValueError:
-            raise BadEntry(f"{name} is no number") from None
-    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= FIGURE_MOST:
-        raise BadEntry(f"{name} is no number of 0 or more")
+            raise BadEntry(f"{name} is not a number") from None
+    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= MAX_NUMBER:
+        raise BadEntry(f"{name} is not a number of 0 or more")
     return float(value)
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    host, sign, port = text.rpartition(":")
+    """Parse IP:PORT, with an IPv6 address in brackets; raises BadEntry."""
+    host, separator, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
         number = int(port)
     except ValueError:
         number = -1
-    if not sign or not 0 <= number <= 65535:
+    if not separator or not 0 <= number <= 65535:
         raise BadEntry(f"{text!r} is no IP:PORT")
     return host.strip("[]"), number
 
 
 def parse_entry(entry: object, start_of: StartTimeLookup) -> ServerEntry:
-    """One entry; raises BadEntry."""
+    """Parse one entry. `start_of` maps an id and a start in Unix ms to local time. Raises BadEntry."""
     if not isinstance(entry, Mapping):
-        raise BadEntry("the entry is no set of named values")
+        raise BadEntry("the entry is not a mapping")
     state = _text(entry, "state", "active")
     if state not in STATES_BY_NAME:
         raise BadEntry(f"state {state!r} is unknown")
@@ -78,27 +79,32 @@
 
 
 def _newest_start(entries: Iterable[object]) -> float:
-    """The latest start that any entry tells, in Unix ms; 0 where none does."""
-    told = (entry.get("started_ms") for entry in entries if isinstance(entry, Mapping))
+    """The latest start time in the entries, in Unix ms; 0 if there is none."""
+    starts = (entry.get("started_ms") for entry in entries if isinstance(entry, Mapping))
     return max(
-        (float(ms) for ms in told if isinstance(ms, int | float) and 0 <= ms <= FIGURE_MOST), default=0.0
+        (float(ms) for ms in starts if isinstance(ms, int | float) and 0 <= ms <= MAX_NUMBER), default=0.0
     )
 
 
-def parse_server_list(answer: object, starts: StartTimes, reject: Callable[[str], None]) -> ServerEntries:
-    """A whole answer in discovery's form. A bad entry is rejected by itself; a bad frame raises BadEntry."""
+def parse_server_list(
+    answer: object, start_times: StartTimes, reject: Callable[[str], None]
+) -> ServerEntries:
+    """Parse an answer of discovery.
+
+    A malformed entry is left out and reported to `reject`; a malformed answer raises BadEntry.
+    """
     if not isinstance(answer, dict) or not isinstance(answer.get("servers"), list):
-        raise BadEntry("servers is missing or no list")
+        raise BadEntry("servers is missing or not a list")
     version = answer.get("version")
-    if type(version) is not int or abs(version) > VERSION_MOST:
-        raise BadEntry("version is missing or no whole number of 64 bits")
+    if type(version) is not int or abs(version) > MAX_VERSION:
+        raise BadEntry("version is missing or not a 64-bit integer")
     if type(answer.get("full")) is not bool:
-        raise BadEntry("full is missing or not true or false")
-    starts.observe_latest(_newest_start(answer["servers"]))
-    machines = []
+        raise BadEntry("full is missing or not a boolean")
+    start_times.observe_latest(_newest_start(answer["servers"]))
+    entries = []
     for number, entry in enumerate(answer["servers"]):
         try:
-            machines.append(parse_entry(entry, starts.local_time))
+            entries.append(parse_entry(entry, start_times.local_time))
         except BadEntry as exc:
             reject(f"entry {number}: {exc}")
-    return ServerEntries(version, answer["full"], machines)
+    return ServerEntries(version, answer["full"], entries)
--- a/puffinford/server_list/watch.py
+++ b/puffinford/server_list/watch.py
@@ -1,7 +1,8 @@
-"""The watch of a list: HTTP/1.1 through h11, one call after the other, and others beside one that is late.
+"""Long-polling watch of a list over HTTP/1.1, with hedged calls ("The Tail at Scale", Dean and Barroso 2013).
 
-What the answers are decoded to, how long calls take and where they go is given to the watch: a balancer at
-the list service, a balancer at relays and a relay at its source are the same watch.
+One call follows another. A call that is overdue is not waited for alone: a second call, which does not wait
+for a change, is made to another endpoint. The decoder, the timing and the endpoints are parameters, so that a
+balancer watching discovery, a balancer watching relays and a relay watching its source share this code.
 """
 
 from __future__ import annotations
@@ -22,32 +23,30 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CONCURRENT_CALLS = (
-    3  # calls out at once; discovery's queue alone may take 3 s, so one is not given up before
-)
-SAME_LEAST = 100.0  # between answers with no news, with room for the 200 ms in which a watch goes on
-MOVED_FOR = 4_000.0  # after a move its news counts as told; until then a failed call is repeated soon
-MOVED_RETRY = 250.0
-AGENT_RETRY_MS = 150.0  # where lists are pushed: a watch goes on if the next call follows within 200 ms
-DOUBT_FOR = 10_000.0  # so long an older list is not believed that one of several endpoints tells alone
-SAID_EVERY = 10_000.0  # a call that fails again and again is logged no more often
-ANSWER_MOST = 4 << 20
-WHOLE = "/v1/servers"
+MAX_CONCURRENT_CALLS = 3  # discovery may queue a call for 3 s, so an overdue one is not cancelled at once
+MIN_UNCHANGED_INTERVAL_MS = 100.0  # between answers without a change; below the 200 ms that end a watch
+MOVED_RETRY_DURATION_MS = 4_000.0  # after a change of endpoints, failed calls are repeated here for this long
+MOVED_RETRY_MS = 250.0
+AGENT_RETRY_MS = 150.0  # a watch counts as uninterrupted if the next call follows within 200 ms
+SUSPECT_DURATION_MS = 10_000.0  # one endpoint alone is not trusted with an older list for this long
+FAILURE_LOG_INTERVAL_MS = 10_000.0
+MAX_ANSWER_BYTES = 4 << 20
+LIST_PATH = "/v1/servers"
 
 
 class CallFailed(Exception):
-    """A call brought no list."""
+    """A call did not yield a list; the text gives the reason."""
 
 
 class ListAnswer(Protocol):
-    """What an answer is decoded to."""
+    """A decoded answer."""
 
     @property
     def version(self) -> int: ...
 
     @property
     def size(self) -> int:
-        """The number of its entries."""
+        """The number of entries."""
         ...
 
 
@@ -56,21 +55,19 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchTiming:
-    """How long calls take, in ms."""
+    """Timeouts and pauses of a watch, in ms."""
 
-    wait: int = 4_000  # how long a watch call may wait at its endpoint: what a call that hangs holds back
-    answer_grace: float = 400.0  # after its wait a watch without an answer is late ...
-    hedge_delay: float = (
-        1_000.0  # ... as any call is after this: another, which does not wait, goes beside it ...
-    )
-    max_hedge_delay: float = 2_500.0  # ... and once OUT_MOST are out, so that a long silence costs few calls
-    jitter: float = 100.0  # at most, drawn each time: watches that fell silent together are not late together
-    retry: RetryPolicy | None = None  # how a watch paces itself after a failure; None: its owner paces it
+    wait: int = 4_000  # how long the endpoint may hold a watch call open until there is a change
+    answer_grace: float = 400.0  # a watch call is overdue this long after its wait
+    hedge_delay: float = 1_000.0  # any other call is overdue after this; a hedge is made for an overdue call
+    max_hedge_delay: float = 2_500.0  # instead of `hedge_delay` once MAX_CONCURRENT_CALLS are pending
+    jitter: float = 100.0  # up to this is added at random, so that watches do not become overdue in step
+    retry: RetryPolicy | None = None  # pauses after a failure; None: the owner decides when to call again
 
 
 @dataclass(frozen=True, slots=True)
 class ListCall:
-    """One call. `index` is None where it asks for the whole list; `wait` and `sent_at` are ms."""
+    """One call. `index` is the version held, None to ask for the full list; `wait` and `sent_at` are ms."""
 
     endpoint: Address
     index: int | None
@@ -80,13 +77,13 @@
     @property
     def path(self) -> str:
         if self.index is None:
-            return WHOLE
-        return f"{WHOLE}?index={self.index}&wait={self.wait:.0f}"
+            return LIST_PATH
+        return f"{LIST_PATH}?index={self.index}&wait={self.wait:.0f}"
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedAnswer(Generic[Answer]):
-    """An answer, with the call that it answers and when it was there."""
+    """An answer with its call and its arrival time in ms."""
 
     answer: Answer
     list_call: ListCall
@@ -94,25 +91,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Doubt:
-    """An answer below the version `held` came from `endpoint`, at `since` ms."""
+class _SuspectAnswer:
+    """An answer from `endpoint`, received at `suspected_at` ms, whose version was below `held_version`."""
 
-    held: int
+    held_version: int
     endpoint: Address
-    since: float
+    suspected_at: float
 
-    def stays(self, heard: ReceivedAnswer[Answer]) -> bool:
-        """Whether an answer says no more than what is doubted.
+    def is_repeated_by(self, received: ReceivedAnswer[Answer]) -> bool:
+        """Whether an answer is as old and from the same endpoint.
 
-        Guards against one relay that was restarted with an older list: while there are others, it is not
-        believed for saying it again, until these have been silent for long.
+        Prevents one relay that was restarted with an older list from replacing a newer one: it is not
+        believed until the other endpoints have been silent for SUSPECT_DURATION_MS.
         """
-        older = heard.answer.version < self.held and heard.list_call.endpoint == self.endpoint
-        return older and heard.received_at < self.since + DOUBT_FOR
+        older = received.answer.version < self.held_version and received.list_call.endpoint == self.endpoint
+        return older and received.received_at < self.suspected_at + SUSPECT_DURATION_MS
 
 
 class ListWatch(Generic[Answer]):
-    """Calls a list service for as long as it is subscribed."""
+    """Calls a list service again and again while subscribed."""
 
     def __init__(
         self,
@@ -120,202 +117,210 @@
         version: int | None,
         clock: Clock,
         decode: Callable[[bytes], Answer],
-        take: Callable[[ReceivedAnswer[Answer] | None], int | None],
+        on_answer: Callable[[ReceivedAnswer[Answer] | None], int | None],
         timing: WatchTiming,
         always_subscribed: bool = False,
         rng: random.Random | None = None,
     ) -> None:
-        """`decode` reads a body and raises CallFailed. `take` hears each answer, or None for a call that
-        failed, and says from which version the next call goes on: None for the whole list. `version` is where
-        the first call goes on from. `always_subscribed`: it watches from the start, and is never told to.
+        """`decode` parses a body and raises CallFailed. `on_answer` receives each answer, or None for a
+        failed call, and returns the version from which the next call continues (None: ask for the full list).
+        The first call continues from `version`. With `always_subscribed` the watch starts with `run`, without
+        a call of `subscribe`.
         """
         self._endpoints = endpoints
-        self._version = version  # 0 is a version too
-        self._doubt: _Doubt | None = None
+        self._version = version  # 0 is a valid version
+        self._suspect: _SuspectAnswer | None = None
         self._rng = rng or random.Random()
         self._clock = clock
         self._decode = decode
-        self._take = take
+        self._on_answer = on_answer
         self._timing = timing
-        self._unprompted = always_subscribed
-        self._watching: anyio.CancelScope | None = None
-        self._moved_at = float("-inf")
-        self._said_at = float("-inf")
-        self._asked = False
-        self._heard_from: Address | None = None
+        self._always_subscribed = always_subscribed
+        self._watch_scope: anyio.CancelScope | None = None
+        self._endpoints_changed_at = float("-inf")
+        self._failure_logged_at = float("-inf")
+        self._has_called = False
+        self._last_endpoint: Address | None = None
         self._tasks: anyio.abc.TaskGroup | None = None
 
     async def run(self) -> None:
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
-            if self._unprompted:
+            if self._always_subscribed:
                 self.subscribe(True)
             await anyio.sleep_forever()
 
     def subscribe(self, on: bool) -> None:
-        if on and self._watching is not None:
-            return  # one watch is enough, and discovery answers one call at a time
+        if on and self._watch_scope is not None:
+            return  # discovery answers one call at a time, so there is one watch
         self._stop()
         if on and self._tasks is not None:
-            self._watching = anyio.CancelScope()
-            self._tasks.start_soon(self._watch, self._watching)
+            self._watch_scope = anyio.CancelScope()
+            self._tasks.start_soon(self._watch, self._watch_scope)
 
     def _stop(self) -> None:
-        if self._watching is not None:
-            self._watching.cancel()
-            self._watching = None
+        if self._watch_scope is not None:
+            self._watch_scope.cancel()
+            self._watch_scope = None
 
-    def restart(self, endpoints: EndpointSelector) -> None:
-        """Ask at other endpoints from now on, at once and for the whole list."""
+    def use_endpoints(self, endpoints: EndpointSelector) -> None:
+        """Switch to other endpoints and ask them for the full list at once."""
         self._endpoints = endpoints
         self._version = None
-        self._moved_at = self._clock.now()
+        self._endpoints_changed_at = self._clock.now()
         self._stop()
         self.subscribe(True)
 
     def refresh(self) -> bool:
-        """Ask at once for what is new, in place of the call that is out.
+        """Replace the pending call by one that is answered at once; returns True, as an answer will follow.
 
-        Guards a process that stood still against the call of before: its time is up, though its answer may be
-        there unread, and the next one would come seconds later.
+        Prevents a process that was suspended from waiting seconds for an update: the pending call has timed
+        out, even if its answer is in the receive buffer.
         """
-        self._asked = False
+        self._has_called = False
         self._stop()
         self.subscribe(True)
         return True
 
     def fetch(self) -> None:
         if self._tasks is not None:
-            self._tasks.start_soon(self._once, None, 0)
+            self._tasks.start_soon(self._fetch_once, None, 0)
 
     async def _watch(self, scope: anyio.CancelScope) -> None:
-        """Calls on end: the rules count one watch while each next call follows within 200 ms."""
+        """Call continuously; calls less than 200 ms apart count as one uninterrupted watch."""
         with scope:
             while True:
-                # Guards a new process against being told nothing for seconds: the known list may be old, and
-                # until it has heard from discovery it is not ready.
-                wait = self._timing.wait if self._version is not None and self._asked else 0
-                self._asked = True
-                began, version = self._clock.now(), self._version
-                if await self._once(self._index(), wait):
-                    if wait and self._version == version and self._clock.now() < began + SAME_LEAST:
-                        # Guards our own core against a discovery that answers a watch at once without news.
-                        await self._clock.sleep(SAME_LEAST)
+                # The first call does not wait: a restored list may be old, and a new process is not ready
+                # before discovery has answered.
+                wait = self._timing.wait if self._version is not None and self._has_called else 0
+                self._has_called = True
+                started_at, version = self._clock.now(), self._version
+                if await self._fetch_once(self._next_index(), wait):
+                    if (
+                        wait
+                        and self._version == version
+                        and self._clock.now() < started_at + MIN_UNCHANGED_INTERVAL_MS
+                    ):
+                        # Prevents a busy loop when discovery answers watch calls at once without a change.
+                        await self._clock.sleep(MIN_UNCHANGED_INTERVAL_MS)
                     elif version is None and self._version is None:
-                        # Guards it against a discovery whose every answer is doubted.
-                        await self._clock.sleep(SAME_LEAST)
+                        # Prevents a busy loop when every answer is rejected.
+                        await self._clock.sleep(MIN_UNCHANGED_INTERVAL_MS)
                     continue
                 if self._timing.retry is not None:
-                    self._asked = False
-                    await self._clock.sleep(self._endpoints.pause())
+                    self._has_called = False
+                    await self._clock.sleep(self._endpoints.retry_pause())
                     continue
-                if self._unprompted:
-                    # Guards the drains: what the agent of our own machine has counts as told, and it
-                    # costs nothing to ask. The pauses that the module makes are seconds long.
+                if self._always_subscribed:
+                    # Changes count as announced once the local agent has them, and local calls are cheap. The
+                    # decision module's pauses of seconds would delay drains.
                     await self._clock.sleep(AGENT_RETRY_MS * (0.5 + 0.5 * self._rng.random()))
                     continue
-                if self._clock.now() - self._moved_at >= MOVED_FOR:
-                    break  # the module asks again
-                # Guards discovery against all balancers of a reload asking in step.
-                await self._clock.sleep(MOVED_RETRY * (0.5 + self._rng.random()))
-        if self._watching is scope:
-            self._watching = None
-
-    def _index(self) -> int | None:
-        """What the next call goes on from.
-
-        Guards against an endpoint that is behind: where there is another, it is asked whether there is
-        anything newer than what is held before an older list is believed.
+                if self._clock.now() - self._endpoints_changed_at >= MOVED_RETRY_DURATION_MS:
+                    break  # the decision module subscribes again
+                # Prevents balancers that were reloaded together from calling discovery in step.
+                await self._clock.sleep(MOVED_RETRY_MS * (0.5 + self._rng.random()))
+        if self._watch_scope is scope:
+            self._watch_scope = None
+
+    def _next_index(self) -> int | None:
+        """The version from which the next call continues.
+
+        After a suspect answer this is the version held before it, so that another endpoint is asked for newer
+        changes before an older list is believed.
         """
-        if self._version is None and self._doubt is not None:
-            return self._doubt.held
+        if self._version is None and self._suspect is not None:
+            return self._suspect.held_version
         return self._version
 
-    async def _once(self, index: int | None, wait: int) -> bool:
-        """One answer: that of whichever call brings it first, the one for `index` or those beside it."""
+    async def _fetch_once(self, index: int | None, wait: int) -> bool:
+        """Make one call, with its hedges, and pass the first answer on; returns whether it was accepted."""
         chosen = self._endpoints.choose(self._clock.now())
-        if self._timing.retry is not None and chosen != self._heard_from:
-            wait = 0  # guards the list's age against an endpoint that is tried, and may hang
+        if self._timing.retry is not None and chosen != self._last_endpoint:
+            wait = 0  # a newly chosen endpoint may hang: ask for an immediate answer first
         list_call = ListCall(chosen, index, wait if index is not None else 0, self._clock.now())
         try:
-            heard = await self._first(list_call)
+            received = await self._first_answer(list_call)
         except CallFailed as exc:
-            self._say(list_call.path, str(exc))
-            self._take(None)
+            self._log_failure(list_call.path, str(exc))
+            self._on_answer(None)
             return False
-        if self._doubt is not None and self._doubt.stays(heard):
-            self._endpoints.failed(heard.list_call.endpoint, heard.received_at)
-            self._say(list_call.path, f"version {heard.answer.version} after {self._doubt.held}")
-            self._take(None)
+        if self._suspect is not None and self._suspect.is_repeated_by(received):
+            self._endpoints.record_failure(received.list_call.endpoint, received.received_at)
+            self._log_failure(
+                list_call.path, f"version {received.answer.version} after {self._suspect.held_version}"
+            )
+            self._on_answer(None)
             return False
-        self._said_at = float("-inf")
-        self._heard_from = heard.list_call.endpoint
-        log.info("discovery", extra={"version": heard.answer.version, "entries": heard.answer.size})
+        self._failure_logged_at = float("-inf")
+        self._last_endpoint = received.list_call.endpoint
+        log.info("discovery", extra={"version": received.answer.version, "entries": received.answer.size})
         held = self._version
-        self._version = self._take(heard)
-        self._note_doubt(heard, held)
+        self._version = self._on_answer(received)
+        self._update_suspect(received, held)
         return True
 
-    def _note_doubt(self, heard: ReceivedAnswer[Answer], held: int | None) -> None:
-        """After an answer: whether its endpoint is gone on with."""
-        endpoint = heard.list_call.endpoint
+    def _update_suspect(self, received: ReceivedAnswer[Answer], held: int | None) -> None:
+        """After an answer, keep its endpoint or mark it as suspect and switch to another."""
+        endpoint = received.list_call.endpoint
         if self._version is not None or len(self._endpoints) == 1:
-            self._doubt = None
-            self._endpoints.answered(endpoint, heard.received_at)
+            self._suspect = None
+            self._endpoints.record_answer(endpoint, received.received_at)
             return
-        self._doubt = None if held is None else _Doubt(held, endpoint, heard.received_at)
-        self._endpoints.failed(endpoint, heard.received_at)
+        self._suspect = None if held is None else _SuspectAnswer(held, endpoint, received.received_at)
+        self._endpoints.record_failure(endpoint, received.received_at)
 
-    def _say(self, path: str, error: str) -> None:
-        if self._clock.now() >= self._said_at + SAID_EVERY:
-            self._said_at = self._clock.now()
+    def _log_failure(self, path: str, error: str) -> None:
+        if self._clock.now() >= self._failure_logged_at + FAILURE_LOG_INTERVAL_MS:
+            self._failure_logged_at = self._clock.now()
             log.warning("discovery failed", extra={"path": path, "error": error})
 
-    async def _first(self, list_call: ListCall) -> ReceivedAnswer[Answer]:
-        """Guards the list's age against calls that hang: none is waited for alone.
+    async def _first_answer(self, list_call: ListCall) -> ReceivedAnswer[Answer]:
+        """Return the first answer to a call or to its hedges, and cancel the others.
 
-        Raises CallFailed once every call out has failed.
+        A hedge is made each time the latest call is overdue, which bounds the list's age when calls hang.
+        Raises CallFailed once every pending call has failed.
         """
         timing = self._timing
-        heard: ReceivedAnswer[Answer] | None = None
+        received: ReceivedAnswer[Answer] | None = None
         failure = CallFailed("no call was made")
-        out: dict[anyio.CancelScope, Address] = {}  # the oldest first
+        pending: dict[anyio.CancelScope, Address] = {}  # oldest first
         async with anyio.create_task_group() as calls:
 
             async def call(list_call: ListCall) -> None:
-                nonlocal heard, failure
+                nonlocal received, failure
                 with anyio.CancelScope() as scope:
-                    out[scope] = list_call.endpoint
+                    pending[scope] = list_call.endpoint
                     try:
                         answer = await self._call(list_call)
-                        heard = ReceivedAnswer(answer, list_call, self._clock.now())
+                        received = ReceivedAnswer(answer, list_call, self._clock.now())
                     except CallFailed as exc:
                         failure = exc
-                        self._endpoints.failed(list_call.endpoint, self._clock.now())
-                    out.pop(scope, None)
-                    if heard is not None or not out:
+                        self._endpoints.record_failure(list_call.endpoint, self._clock.now())
+                    pending.pop(scope, None)
+                    if received is not None or not pending:
                         calls.cancel_scope.cancel()
 
             calls.start_soon(call, list_call)
-            answer_grace = list_call.wait + timing.answer_grace if list_call.wait else timing.hedge_delay
+            overdue_after = list_call.wait + timing.answer_grace if list_call.wait else timing.hedge_delay
             while True:
-                await self._clock.sleep(answer_grace + timing.jitter * self._rng.random())
-                endpoint = self._endpoints.choose_hedge(out.values())
-                if len(out) >= MAX_CONCURRENT_CALLS:
-                    oldest = next(iter(out))
-                    del out[oldest]
+                await self._clock.sleep(overdue_after + timing.jitter * self._rng.random())
+                endpoint = self._endpoints.choose_hedge(pending.values())
+                if len(pending) >= MAX_CONCURRENT_CALLS:
+                    oldest = next(iter(pending))
+                    del pending[oldest]
                     oldest.cancel()
-                    self._say(list_call.path, "no answer in time")
-                calls.start_soon(call, ListCall(endpoint, self._index(), 0, self._clock.now()))
-                answer_grace = (
-                    timing.hedge_delay if len(out) < MAX_CONCURRENT_CALLS - 1 else timing.max_hedge_delay
+                    self._log_failure(list_call.path, "call cancelled: no answer in time")
+                calls.start_soon(call, ListCall(endpoint, self._next_index(), 0, self._clock.now()))
+                overdue_after = (
+                    timing.hedge_delay if len(pending) < MAX_CONCURRENT_CALLS - 1 else timing.max_hedge_delay
                 )
-        if heard is None:
+        if received is None:
             raise failure
-        return heard
+        return received
 
     async def _call(self, list_call: ListCall) -> Answer:
-        """Guards the list's age against what this machine lacks for a moment: it is waited out first."""
+        """Make a call, with retries while this host is briefly short of descriptors, ports or buffers."""
         pauses = iter(RETRY_PAUSES_MS)
         while True:
             try:
@@ -346,12 +351,12 @@
                     status = event.status_code
                 elif isinstance(event, h11.Data):
                     body += event.data
-                    if len(body) > ANSWER_MOST:
-                        raise CallFailed("the answer is too long")
+                    if len(body) > MAX_ANSWER_BYTES:
+                        raise CallFailed("answer too long: more than 4 MiB")
                 elif isinstance(event, h11.EndOfMessage):
                     break
                 elif isinstance(event, h11.ConnectionClosed):
-                    raise CallFailed("closed without an answer")
+                    raise CallFailed("connection closed before a complete answer")
         if status != 200:
             raise CallFailed(f"status {status}")
         return bytes(body)
--- a/tests/test_inventory.py
+++ b/tests/test_inventory.py
@@ -1,4 +1,4 @@
-"""The inventory file: CSV and YAML give the same entries, and bad ones are named by file and line."""
+"""The inventory file: CSV and YAML yield the same entries; malformed ones are reported with their line."""
 
 from __future__ import annotations
 
@@ -41,9 +41,12 @@
 def test_both_forms_give_the_same_entries(name: str, text: str, bad: list[int], tmp_path: Path) -> None:
     path = tmp_path / name
     path.write_text(text)
-    machines, rejected = load(path, lambda _, ms: ms)
-    seen = [(m.server.id, m.host, m.port, m.front, m.server.state.value, m.server.weight) for m in machines]
-    assert seen == [
+    entries, rejected = load(path, lambda _, ms: ms)
+    loaded = [
+        (entry.server.id, entry.host, entry.port, entry.front, entry.server.state.value, entry.server.weight)
+        for entry in entries
+    ]
+    assert loaded == [
         ("s-1", "127.0.0.1", 81, "channels", "live", 2.0),
         ("s-3", "127.0.0.2", 82, "lines", "draining", 1.0),
     ]
@@ -77,7 +80,7 @@
             clock.advance(1_000.0)
         await anyio.wait_all_tasks_blocked()
         tasks.cancel_scope.cancel()
-    assert [seen and [m.server.id for m in seen.entries] for seen in lists] == [
+    assert [servers and [entry.server.id for entry in servers.entries] for servers in lists] == [
         ["s-1"],
         None,
         ["s-1"],
