--- a/puffinford/management/__init__.py
+++ b/puffinford/management/__init__.py
@@ -1,1 +1,1 @@
-"""What operators call: the second address, the figures, cordons, and the change to a new version."""
+"""Operation of a running balancer: the admin API, cordons, and the handover to a new version."""
--- a/puffinford/management/admin_api.py
+++ b/puffinford/management/admin_api.py
@@ -1,4 +1,4 @@
-"""The calls of the second address, and what each is answered."""
+"""The admin API: health, statistics and cordons, under /admin of the management address."""
 
 from __future__ import annotations
 
@@ -11,63 +11,63 @@
 
 log = logging.getLogger(__name__)
 
-
 AdminHandler = Callable[[Call], Reply]
 
 
 def _wrong_method(method: str) -> Reply:
-    return Reply(405, f"{method} is the method here", allow=method)
+    return Reply(405, f"method not allowed, use {method}", allow=method)
 
 
 class AdminApi:
-    """`lacking` names what this process still lacks to serve; it is empty once nothing does.
+    """Answers calls of the admin API.
 
-    `extras` answer what stands under a name of their own, /admin/NAME.
+    `missing` returns what this process still lacks before it can serve, or an empty text when it is ready.
+    `extra_handlers` answer the calls under /admin/NAME, by that name.
     """
 
     def __init__(
         self,
         exchange: Exchange,
         cordons: Cordons,
-        lacking: Callable[[], str],
-        extras: Mapping[str, AdminHandler] | None = None,
+        missing: Callable[[], str],
+        extra_handlers: Mapping[str, AdminHandler] | None = None,
     ) -> None:
-        self._extras = extras or {}
+        self._extra_handlers = extra_handlers or {}
         self._exchange = exchange
         self._cordons = cordons
-        self._lacking = lacking
+        self._missing = missing
 
     async def answer(self, call: Call) -> Reply:
-        """What a call is answered."""
+        """Answer one call."""
         match call.path:
             case ("admin", "health"):
                 return self._health() if call.method == "GET" else _wrong_method("GET")
             case ("admin", "stats"):
                 return self._stats() if call.method == "GET" else _wrong_method("GET")
-            case ("admin", "cordon" | "uncordon" as what, ident):
+            case ("admin", "cordon" | "uncordon" as action, server_id):
                 if call.method != "POST":
                     return _wrong_method("POST")
-                return await self._cordon(ident, what == "cordon")
-            case ("admin", str(name), *_) if name in self._extras:
-                return self._extras[name](call)
+                return await self._cordon(server_id, action == "cordon")
+            case ("admin", str(name), *_) if name in self._extra_handlers:
+                return self._extra_handlers[name](call)
             case _:
                 return Reply(404, "no such path")
 
     def _health(self) -> Reply:
-        lack = self._lacking()
-        return Reply(503, f"not ready: {lack}") if lack else Reply(200, "ready")
+        missing = self._missing()
+        return Reply(503, f"not ready: {missing}") if missing else Reply(200, "ready")
 
-    async def _cordon(self, ident: str, out: bool) -> Reply:
-        if not self._exchange.is_known_id(ident):
+    async def _cordon(self, server_id: str, cordoned: bool) -> Reply:
+        if not self._exchange.is_known_id(server_id):
             if not self._exchange.has_server_list:
-                return Reply(503, "no machine list yet")
+                return Reply(503, "no server list yet")
             return Reply(404, "no server has that id")
         try:
-            await self._cordons.change(ident, out)
+            await self._cordons.set_cordon(server_id, cordoned)
         except OSError as exc:
-            log.error("cordon not kept", extra={"server": ident, "error": str(exc)})
-            return Reply(503, f"cannot be kept: {exc}")
-        return Reply(200, f"{ident} is {'out' if out else 'back'}")
+            log.error("cordon not kept", extra={"server": server_id, "error": str(exc)})
+            return Reply(503, f"cordon not stored: {exc}")
+        return Reply(200, f"{server_id} is {'out' if cordoned else 'back'}")
 
     def _stats(self) -> Reply:
         lines = [
--- a/puffinford/management/cordons.py
+++ b/puffinford/management/cordons.py
@@ -1,4 +1,4 @@
-"""The servers that operators have taken out: a set that all versions of a balancer share through a file."""
+"""The servers that operators have cordoned: a set that all processes of a balancer share through a file."""
 
 from __future__ import annotations
 
@@ -16,111 +16,114 @@
 
 log = logging.getLogger(__name__)
 
-_Mark = tuple[int, int, int]  # what changes with each file renamed into place
+_FileStamp = tuple[int, int, int]  # inode, modification time in ns, size: changes with each replacement
 
 
-def _with(held: frozenset[str], ident: str, out: bool) -> frozenset[str]:
-    return held | {ident} if out else held - {ident}
+def _with_cordon(cordoned: frozenset[str], server_id: str, out: bool) -> frozenset[str]:
+    return cordoned | {server_id} if out else cordoned - {server_id}
 
 
 class _Unusable(Exception):
-    """The file is there and cannot be used; the text says why."""
+    """The file exists but cannot be used; the text gives the reason."""
 
 
 class Cordons:
-    """`apply` hears the whole set whenever it has changed. Without a `path` it is kept in memory alone."""
+    """The set of cordoned servers.
+
+    `apply` receives the complete set after each change. Without a `path` the set is kept in memory only.
+    """
 
     def __init__(self, path: Path | None, apply: Callable[[frozenset[str]], None]) -> None:
         self._path = path.with_name(path.name + ".cordons") if path else None
         self._apply = apply
-        self._mark: _Mark | None = None
-        self.out: frozenset[str] = frozenset()
-        self.in_sync = True  # what the file says is what holds here
-        self._said = ""  # why it could not be used, as the log has it
-        self._one = anyio.Lock()  # one change at a time
+        self._stamp: _FileStamp | None = None
+        self.cordoned: frozenset[str] = frozenset()
+        self.in_sync = True  # whether `cordoned` is what the file holds
+        self._logged_error = ""  # the last reason logged, while the file cannot be used
+        self._change_lock = anyio.Lock()
 
     def refresh(self) -> None:
-        """Take in what another version has changed.
+        """Apply changes that another process has made to the file.
 
-        Guards a cordon against a read that fails for a moment: it is made again at each look.
+        A read that failed is repeated at the next call, even if the file has not changed since.
         """
-        mark = None
+        stamp = None
         with contextlib.suppress(OSError):
-            mark = self._stat()
-        if mark == self._mark and self.in_sync:
+            stamp = self._read_stamp()
+        if stamp == self._stamp and self.in_sync:
             return
         try:
-            self._hold(self._read())
+            self._adopt(self._read())
         except (OSError, _Unusable) as exc:
-            self._say(str(exc))
+            self._log_unusable(str(exc))
             return
-        self._mark = mark
-        self._in_force_again()
+        self._stamp = stamp
+        self._mark_in_sync()
 
-    async def change(self, ident: str, out: bool) -> None:
-        """Take a server out or put it back; raises OSError, and then nothing has changed.
+    async def set_cordon(self, server_id: str, out: bool) -> None:
+        """Cordon or uncordon a server; raises OSError, and then nothing has changed.
 
-        Guards the lines that are passed on against a slow disk: its part is done by a thread.
+        The file is written in a thread, so that a slow disk does not delay messages.
         """
         if self._path is None:
-            self._hold(_with(self.out, ident, out))
+            self._adopt(_with_cordon(self.cordoned, server_id, out))
             return
-        async with self._one:
-            held, self._mark = await to_thread.run_sync(self._write, ident, out)
-            self._in_force_again()
-            self._hold(held)
+        async with self._change_lock:
+            cordoned, self._stamp = await to_thread.run_sync(self._write, server_id, out)
+            self._mark_in_sync()
+            self._adopt(cordoned)
 
-    def _write(self, ident: str, out: bool) -> tuple[frozenset[str], _Mark | None]:
-        """Change the file; the set that it holds now, and its mark where that can be had."""
+    def _write(self, server_id: str, out: bool) -> tuple[frozenset[str], _FileStamp | None]:
+        """Replace the file; returns its new set, and its stamp if it can be read."""
         assert self._path is not None
         with locked(self._path.with_name(self._path.name + ".lock")):
             try:
-                held = self._read()
+                cordoned = self._read()
             except _Unusable as exc:
-                self._say(str(exc))
-                held = self.out
-            held = _with(held, ident, out)
-            # Guards readers, and whoever starts after a crash, against half a file.
-            fresh = self._path.with_name(self._path.name + ".new")
-            fresh.write_text(json.dumps(sorted(held)), encoding="utf-8")
-            os.replace(fresh, self._path)
-            # What follows cannot take the answer back: the set holds from here on.
+                self._log_unusable(str(exc))
+                cordoned = self.cordoned
+            cordoned = _with_cordon(cordoned, server_id, out)
+            # Prevents a reader, or a process that starts after a crash, from finding a partial file.
+            new_path = self._path.with_name(self._path.name + ".new")
+            new_path.write_text(json.dumps(sorted(cordoned)), encoding="utf-8")
+            os.replace(new_path, self._path)
+            # The change is in effect from here on, so a failure below must not fail it.
             with contextlib.suppress(OSError):
-                return held, self._stat()
-            return held, None
+                return cordoned, self._read_stamp()
+            return cordoned, None
 
-    def _stat(self) -> _Mark | None:
+    def _read_stamp(self) -> _FileStamp | None:
         if self._path is None:
             return None
-        seen = self._path.stat()
-        return seen.st_ino, seen.st_mtime_ns, seen.st_size
+        stat = self._path.stat()
+        return stat.st_ino, stat.st_mtime_ns, stat.st_size
 
     def _read(self) -> frozenset[str]:
-        """The set in the file, the one held where there is none; raises OSError or _Unusable."""
+        """The set in the file, or the current one if there is no file; raises OSError or _Unusable."""
         assert self._path is not None
         try:
-            told = json.loads(self._path.read_bytes())
+            ids = json.loads(self._path.read_bytes())
         except FileNotFoundError:
-            return self.out
+            return self.cordoned
         except (ValueError, RecursionError) as exc:
             raise _Unusable(str(exc)) from None
-        if not isinstance(told, list) or not all(isinstance(ident, str) for ident in told):
-            raise _Unusable("no list of ids")
-        return frozenset(told)
+        if not isinstance(ids, list) or not all(isinstance(server_id, str) for server_id in ids):
+            raise _Unusable("not a list of ids")
+        return frozenset(ids)
 
-    def _say(self, error: str) -> None:
-        """The file cannot be used: one line for each cause."""
+    def _log_unusable(self, error: str) -> None:
+        """Note that the file cannot be used, and log each reason once."""
         self.in_sync = False
-        if error != self._said:
-            self._said = error
+        if error != self._logged_error:
+            self._logged_error = error
             log.error("cordons unreadable", extra={"error": error})
 
-    def _in_force_again(self) -> None:
+    def _mark_in_sync(self) -> None:
         self.in_sync = True
-        self._said = ""
+        self._logged_error = ""
 
-    def _hold(self, out: frozenset[str]) -> None:
-        if out != self.out:
-            log.info("cordons", extra={"out": ",".join(sorted(out))})
-            self.out = out
-            self._apply(out)
+    def _adopt(self, cordoned: frozenset[str]) -> None:
+        if cordoned != self.cordoned:
+            log.info("cordons", extra={"out": ",".join(sorted(cordoned))})
+            self.cordoned = cordoned
+            self._apply(cordoned)
--- a/puffinford/management/http.py
+++ b/puffinford/management/http.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 call a connection, through h11."""
+"""A minimal HTTP/1.1 server for the management address, through h11: one call per connection."""
 
 from __future__ import annotations
 
@@ -16,84 +16,88 @@
 
 log = logging.getLogger(__name__)
 
-CALL_MOST = 5_000.0  # a caller that has not finished its call by then is closed
-HEAD_MOST = 8_192  # bytes of a call's head
-BODY_MOST = 16_384  # bytes of a body; no call needs one
+CALL_TIMEOUT_MS = 5_000.0  # for a caller to finish sending its call
+MAX_HEAD_BYTES = 8_192
+MAX_BODY_BYTES = 16_384  # no call of the admin API has a body
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
+    """The method and the path of one call."""
+
     method: str
-    path: tuple[str, ...]  # the parts between slashes, decoded
+    path: tuple[str, ...]  # the segments, percent-decoded
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
+    """A response with a plain text body."""
+
     status: int
     text: str
-    allow: str = ""  # the method that the path takes, with a 405
+    allow: str = ""  # with status 405, the method that the path accepts
 
 
 class HttpCallHandler:
-    """Reads calls and writes what `answer` says to them. Callers that stall hold a place at the door only."""
+    """Reads calls and writes the replies of `answer`; a caller that stalls may be evicted by `tracker`."""
 
     def __init__(self, answer: Callable[[Call], Awaitable[Reply]], tracker: ConnectionTracker) -> None:
         self._answer = answer
         self._tracker = tracker
 
     async def handle(self, stream: TcpStream) -> None:
-        connection = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_MOST)
+        connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         with (
-            self._tracker.evictable_wait(CALL_MOST) as heard,
+            self._tracker.evictable_wait(CALL_TIMEOUT_MS) as on_data,
             contextlib.suppress(PeerClosed, ConnectionBroken),
         ):
             method = ""
             try:
-                call = await self._read(stream, connection, heard)
+                call = await self._read(stream, connection, on_data)
                 method = call.method
                 reply = await self._answer(call)
             except h11.RemoteProtocolError as exc:
-                reply = Reply(400, f"cannot be read: {exc}")
+                reply = Reply(400, f"malformed request: {exc}")
             except (PeerClosed, ConnectionBroken):
                 raise
             except Exception:
-                # Guards the caller against silence where a fault is ours.
+                # Answers the caller even when the handler has a bug.
                 log.exception("call failed")
-                reply = Reply(500, "a fault in the balancer; its log says more")
+                reply = Reply(500, "internal error; see the log of the balancer")
             await stream.write(_encode(connection, reply, with_body=method != "HEAD"))
             await stream.end()
 
-    async def _read(self, stream: TcpStream, connection: h11.Connection, heard: Callable[[], None]) -> Call:
-        """The whole call; raises RemoteProtocolError, Ended or Broken."""
+    async def _read(self, stream: TcpStream, connection: h11.Connection, on_data: Callable[[], None]) -> Call:
+        """Read a complete call; raises RemoteProtocolError, PeerClosed or ConnectionBroken."""
         call: Call | None = None
-        body = 0
+        body_bytes = 0
         while True:
             event = connection.next_event()
             if event is h11.NEED_DATA:
                 connection.receive_data(await stream.read())
-                heard()
+                on_data()
             elif isinstance(event, h11.Request):
-                call = _call(event)
+                call = _parse_call(event)
                 if connection.they_are_waiting_for_100_continue:
-                    go_on = h11.InformationalResponse(status_code=100, headers=[])
-                    await stream.write(connection.send(go_on) or b"")
+                    continue_response = h11.InformationalResponse(status_code=100, headers=[])
+                    await stream.write(connection.send(continue_response) or b"")
             elif isinstance(event, h11.Data):
-                body += len(event.data)
-                if body > BODY_MOST:
-                    raise h11.RemoteProtocolError("the body is too long")
+                body_bytes += len(event.data)
+                if body_bytes > MAX_BODY_BYTES:
+                    raise h11.RemoteProtocolError("the body is longer than 16384 bytes")
             elif isinstance(event, h11.EndOfMessage) and call is not None:
                 return call
             else:
                 raise PeerClosed
 
 
-def _call(request: h11.Request) -> Call:
+def _parse_call(request: h11.Request) -> Call:
     try:
         path = urlsplit(request.target.decode("ascii")).path
-        parts = tuple(unquote(part, errors="strict") for part in path.split("/")[1:])
+        segments = tuple(unquote(segment, errors="strict") for segment in path.split("/")[1:])
     except ValueError:
-        raise h11.RemoteProtocolError("the target is no path") from None
-    return Call(request.method.decode("ascii"), parts)
+        raise h11.RemoteProtocolError("the target is not a path") from None
+    return Call(request.method.decode("ascii"), segments)
 
 
 def _encode(connection: h11.Connection, reply: Reply, with_body: bool) -> bytes:
@@ -106,9 +110,9 @@
     ]
     if reply.allow:
         headers.append(("Allow", reply.allow))
-    pieces = [
+    parts = [
         connection.send(h11.Response(status_code=reply.status, headers=headers)),
         connection.send(h11.Data(data=body if with_body else b"")),
         connection.send(h11.EndOfMessage()),
     ]
-    return b"".join(piece or b"" for piece in pieces)
+    return b"".join(part or b"" for part in parts)
--- a/puffinford/management/versions.py
+++ b/puffinford/management/versions.py
@@ -1,7 +1,7 @@
-"""The processes of one balancer: the old and the new version share their limits, and one takes over.
+"""Registry of the processes of one balancer, so that an old and a new version share limits and hand over.
 
-Each holds a file of its own in a directory of the balancer, locked for as long as it lives, with what the
-others need to know of it.
+Each process holds a file in a directory of the balancer, locked for as long as the process lives, that
+contains its number, whether it is ready, and how many descriptors it uses.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-PLACES = 4  # processes that may live at a time; two is usual
-OWN_DESCRIPTORS = 16  # descriptors of a process besides its counted sockets
-_RECORD = struct.Struct("=III")  # its number in the line of versions, ready, descriptors held
-_READY_AT, _HELD_AT = 4, 8
+MAX_PROCESSES = 4  # at a time; two during an upgrade
+OWN_DESCRIPTORS = 16  # of a process, besides its counted sockets
+_RECORD = struct.Struct("=III")  # number in order of start, ready, descriptors
+_READY_OFFSET, _DESCRIPTORS_OFFSET = 4, 8
 
 
 @contextmanager
 def locked(path: Path) -> Iterator[None]:
-    """One process at a time; what is within takes no longer than a few file calls."""
+    """Hold an exclusive lock on a file. The body should be short, as other processes block meanwhile."""
     with open(path, "ab") as file:
         fcntl.flock(file, fcntl.LOCK_EX)
         yield
@@ -32,44 +32,47 @@
 
 @dataclass
 class _Other:
-    """Another living process, through its file."""
+    """The record of another live process, mapped from its file."""
 
     view: mmap.mmap
 
     def read(self) -> tuple[int, int, int]:
-        number, ready, held = _RECORD.unpack_from(self.view)
-        return number, ready, held
+        number, ready, descriptors = _RECORD.unpack_from(self.view)
+        return number, ready, descriptors
 
 
 class VersionRegistry:
-    """This process among those of its balancer. `path` None: there is no other, ever."""
+    """This process among the processes of its balancer.
+
+    `path` is the prefix of the files; None for a balancer that always has a single process.
+    """
 
     def __init__(self, path: Path | None) -> None:
         self._path = path
         self._others: dict[int, _Other] = {}
-        self._place = -1
+        self._slot = -1
         self._view: mmap.mmap | None = None
         self._number = 1
-        self._file = -1  # stays open, and locked, to the end of the process
+        self._file = -1  # descriptor, open and locked to the end of the process
 
     def register(self) -> None:
-        """Take a place; raises OSError where there is none."""
+        """Claim a slot for this process; raises OSError if all are in use."""
         if self._path is None:
             return
         with locked(self._path.with_name(self._path.name + ".lock")):
             self.refresh()
             self._number = 1 + max((other.read()[0] for other in self._others.values()), default=0)
-            for place in range(PLACES):
-                if place not in self._others and self._take(place):
+            for slot in range(MAX_PROCESSES):
+                if slot not in self._others and self._claim(slot):
                     return
-        raise OSError(f"{PLACES} processes of this balancer run already")
+        raise OSError(f"{MAX_PROCESSES} processes of this balancer are running already")
 
-    def _name(self, place: int) -> Path:
+    def _slot_path(self, slot: int) -> Path:
         assert self._path is not None
-        return self._path.with_name(f"{self._path.name}.version-{place}")
+        return self._path.with_name(f"{self._path.name}.version-{slot}")
 
-    def _take(self, place: int) -> bool:
-        file = os.open(self._name(place), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+    def _claim(self, slot: int) -> bool:
+        file = os.open(self._slot_path(slot), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
@@ -78,67 +81,68 @@
         os.ftruncate(file, _RECORD.size)
         self._view = mmap.mmap(file, _RECORD.size)
         _RECORD.pack_into(self._view, 0, self._number, 0, OWN_DESCRIPTORS)
-        self._place, self._file = place, file
+        self._slot, self._file = slot, file
         return True
 
     def refresh(self) -> None:
-        """See who lives. Guards against the file of a killed process: its lock went with it."""
+        """Update which other processes are alive; a process that was killed has lost its lock."""
         if self._path is None:
             return
-        for place in range(PLACES):
-            if place == self._place:
+        for slot in range(MAX_PROCESSES):
+            if slot == self._slot:
                 continue
             try:
-                view = self._living(place)
+                view = self._live_view(slot)
             except OSError:
-                continue  # no descriptor for a look: what was seen last holds
+                continue  # out of descriptors, for example: keep the last state
             if view is None:
-                self._others.pop(place, None)
-            elif place not in self._others:
-                self._others[place] = _Other(view)
+                self._others.pop(slot, None)
+            elif slot not in self._others:
+                self._others[slot] = _Other(view)
 
-    def _living(self, place: int) -> mmap.mmap | None:
-        with contextlib.suppress(FileNotFoundError), open(self._name(place), "rb") as file:
+    def _live_view(self, slot: int) -> mmap.mmap | None:
+        """The record of the process that holds a slot; None if no live process does."""
+        with contextlib.suppress(FileNotFoundError), open(self._slot_path(slot), "rb") as file:
             try:
                 fcntl.flock(file, fcntl.LOCK_SH | fcntl.LOCK_NB)
             except BlockingIOError:
-                known = self._others.get(place)
-                with contextlib.suppress(ValueError):  # just made, and still empty
+                known = self._others.get(slot)
+                with contextlib.suppress(ValueError):  # the file was just created and is still empty
                     return (
                         known.view if known else mmap.mmap(file.fileno(), _RECORD.size, prot=mmap.PROT_READ)
                     )
         return None
 
-    # What this one tells
+    # Published to the other processes
 
     def publish_ready(self, ready: bool) -> None:
         if self._view is not None:
-            struct.pack_into("=I", self._view, _READY_AT, ready)
+            struct.pack_into("=I", self._view, _READY_OFFSET, ready)
 
     def publish_sockets(self, sockets: int) -> None:
         if self._view is not None:
-            struct.pack_into("=I", self._view, _HELD_AT, sockets + OWN_DESCRIPTORS)
+            struct.pack_into("=I", self._view, _DESCRIPTORS_OFFSET, sockets + OWN_DESCRIPTORS)
 
-    # What it knows of the others
+    # Read from the other processes
 
     @property
     def descriptors_elsewhere(self) -> int:
-        """The descriptors of the others, which count against the same limit."""
+        """The descriptors that the other processes use, which count against the same limit."""
         return sum(other.read()[2] for other in self._others.values()) if self._others else 0
 
     @property
     def has_ready_successor(self) -> bool:
-        """Whether a later version is ready."""
+        """Whether a process that started later is ready."""
         return any(
             number > self._number and ready for number, ready, _ in map(_Other.read, self._others.values())
         )
 
     @property
     def has_successor(self) -> bool:
-        """Whether a later version lives, ready or not."""
+        """Whether a process that started later is alive, ready or not."""
         return any(other.read()[0] > self._number for other in self._others.values())
 
     @property
     def has_predecessor(self) -> bool:
-        """Whether an earlier version lives."""
+        """Whether a process that started earlier is alive."""
         return any(other.read()[0] < self._number for other in self._others.values())
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -1,4 +1,4 @@
-"""Stories of the second address: what each call is answered, and what the figures count."""
+"""The management address: the status of each call, and the counters of /admin/stats."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "status"),
+    ("admin_call", "status"),
     [
         ("GET /admin/health", 200),
         ("GET /admin/stats?all", 200),
@@ -22,7 +22,7 @@
         ("GET /admin/health/", 404),
         ("GET /admin/%ff", 400),
         (b"\x16\x03\x01\x02\x00\r\n\r\n", 400),
-        (b"GET /admin/health HTTP/1.1\r\n\r\n", 400),  # HTTP/1.1 wants a Host
+        (b"GET /admin/health HTTP/1.1\r\n\r\n", 400),  # HTTP/1.1 requires a Host header
         (b"GET /admin/health HTTP/1.1\r\nHost: a\r\nContent-Length: -1\r\n\r\n", 400),
         (b"GET /" + b"a" * 20_000, 400),
         (b"GET /admin/health HTTP/1.0\r\n\r\n", 200),
@@ -31,28 +31,28 @@
             b"GET /admin/health HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\nall",
             100,
         ),
-        ("POST /admin/cordon/s-1", 503),  # no list yet, so nobody can say that it is unknown
+        ("POST /admin/cordon/s-1", 503),  # no list yet, so the id may become known
     ],
 )
-async def test_each_call_has_its_answer(said: str | bytes, status: int) -> None:
+async def test_each_call_has_its_answer(admin_call: str | bytes, status: int) -> None:
     async with harness() as here:
-        assert (await http_call(here.management(), said))[0] == status
+        assert (await http_call(here.management(), admin_call))[0] == status
 
 
 async def test_a_fault_of_ours_is_answered_too() -> None:
-    def lacking() -> str:
+    def missing() -> str:
         raise RuntimeError
 
     async with harness() as here:
-        assert (await http_call(here.management(lacking), "GET /admin/health"))[0] == 500
+        assert (await http_call(here.management(missing), "GET /admin/health"))[0] == 500
 
 
 async def test_ready_means_that_nothing_is_lacking() -> None:
-    lack = "no machine list yet"
+    missing = "no machine list yet"
     async with harness() as here:
-        port = here.management(lambda: lack)
+        port = here.management(lambda: missing)
         assert await http_call(port, "GET /admin/health") == (503, "not ready: no machine list yet\n")
-        lack = ""
+        missing = ""
         assert await http_call(port, "GET /admin/health") == (200, "ready\n")
 
 
@@ -73,7 +73,7 @@
 
 
 async def test_callers_that_stall_and_crowds_of_clients_hold_up_no_call() -> None:
-    """The clock stands still: only their number sends the stalled ones away."""
+    """Stalled callers are evicted by their number alone: the clock does not advance here."""
     async with harness() as here:
         here.tracker.budget.limit = 0
         port = here.management()
@@ -88,14 +88,14 @@
             await anyio.aclose_forcefully(stream)
 
 
-@pytest.mark.parametrize(("ms", "told"), [(500.0, []), (900.0, [400])])
+@pytest.mark.parametrize(("ms", "stalls_ms"), [(500.0, []), (900.0, [400])])
 async def test_the_log_tells_when_the_program_itself_was_late(
-    ms: float, told: list[int], caplog: pytest.LogCaptureFixture
+    ms: float, stalls_ms: list[int], caplog: pytest.LogCaptureFixture
 ) -> None:
     async with harness() as here:
         here.clock.advance(ms)
         await here.settle()
-        assert [vars(r)["ms"] for r in caplog.records if r.message == "stalled"] == told
+        assert [vars(r)["ms"] for r in caplog.records if r.message == "stalled"] == stalls_ms
 
 
 @pytest.mark.parametrize("front", ["lines", "channels"])
@@ -103,11 +103,11 @@
     async with harness() as here:
         port = here.management()
 
-        async def figures() -> dict[str, str]:
+        async def counters() -> dict[str, str]:
             lines = (await http_call(port, "GET /admin/stats"))[1].split()
             return dict(line.removeprefix("app.").split(":") for line in lines)
 
-        zero = await figures()
+        zero = await counters()
         assert [
             zero[f"requests.{cls}.{name}"]
             for cls in ("price-lookup", "payment")
@@ -126,14 +126,14 @@
         unknown = await here.client(opening("0c", b"c=none,d=9"))
         assert (await unknown.line()).startswith(b"ERR ")
         await here.server("s-1", answering(b"ERR no"))
-        turned = await here.client(opening("0d", b"c=payment,d=900"))
-        assert (await turned.line()).startswith(b"ERR ")
-        seen = await figures()
+        refused = await here.client(opening("0d", b"c=payment,d=900"))
+        assert (await refused.line()).startswith(b"ERR ")
+        seen = await counters()
         names = ("price-lookup.served", "price-lookup.failed", "price-lookup.attempts", "payment.failed")
         assert [seen[f"requests.{name}"] for name in names] == ["1|c"] * 4
         assert seen["requests.price-lookup.refused"] == "0|c"
         assert {n: seen[n] for n in ("in_flight", "servers_known", "servers_excluded")} == {
             "in_flight": "1|g",
             "servers_known": "1|g",
-            "servers_excluded": "1|g",  # it answered amiss
+            "servers_excluded": "1|g",  # it sent a malformed answer
         }
