--- a/puffinford/operators/__init__.py
+++ b/puffinford/operators/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' file: one setting a line, in sections, checked into typed values."""
+"""Reads the operators' settings file: one setting per line, in sections, validated into typed values."""
 
 from puffinford.operators.lines import BadSettings
 from puffinford.operators.loading import DEFAULT_FILE, LoadedSettings, load_settings
--- a/puffinford/operators/lines.py
+++ b/puffinford/operators/lines.py
@@ -1,4 +1,7 @@
-"""The operators' file as lines of words, each with its place. Grammar by lark; `include` is followed here."""
+"""Splits the settings file into lines of words with their locations, and follows `include`.
+
+Lines are parsed by a lark grammar.
+"""
 
 from __future__ import annotations
 
@@ -9,9 +12,9 @@
 from pathlib import Path
 from typing import Any
 
-FILE_MOST = 1 << 20  # bytes of a file
-FILES_MOST = 256  # files, includes among them
-DEPTH_MOST = 8  # includes within includes
+MAX_FILE_BYTES = 1 << 20
+MAX_FILES = 256  # included files count
+MAX_INCLUDE_DEPTH = 8
 
 _GRAMMAR = r"""
     start: word*
@@ -26,8 +29,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """Where something stands: file, line and column, from 1."""
+class Location:
+    """A position in a settings file; line and column count from 1."""
 
     file: str
     line: int
@@ -39,12 +42,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Word:
+    """One word of a line, without its quotes."""
+
     text: str
-    place: Place
+    location: Location
 
 
 class BadSettings(Exception):
-    """The operators' file cannot be used; `errors` holds all reasons, each with its place."""
+    """The settings file is invalid; `errors` holds every reason, each with its location."""
 
     def __init__(self, errors: list[str]) -> None:
         super().__init__("\n".join(errors))
@@ -53,61 +58,63 @@
 
 @cache
 def _parser() -> Any:
-    # 4 MB and 15 ms: only a file that sets something pays for it.
+    # Imported late: the import is slow, and a file without settings does not need it.
     from lark import Lark
 
     return Lark(_GRAMMAR, parser="lalr")
 
 
 def _words(text: str, file: str, number: int) -> list[Word]:
-    """The words of one line; raises BadSettings."""
+    """Split one line into words; raises BadSettings."""
     from lark import UnexpectedInput
 
     try:
         tree = _parser().parse(text)
     except UnexpectedInput as exc:
-        what = "a quote that does not end" if text[exc.column - 1 : exc.column] == '"' else "cannot be read"
-        raise BadSettings([f"{Place(file, number, exc.column)}: {what}"]) from None
-    made = []
+        reason = (
+            "a quote that does not end" if text[exc.column - 1 : exc.column] == '"' else "cannot be parsed"
+        )
+        raise BadSettings([f"{Location(file, number, exc.column)}: {reason}"]) from None
+    words = []
     for node in tree.children:
         token = node.children[0]
-        word = str(token)
+        unquoted = str(token)
         if node.data == "quoted":
-            word = word[1:-1].replace('\\"', '"').replace("\\\\", "\\")
-        made.append(Word(word, Place(file, number, token.column)))
-    return made
+            unquoted = unquoted[1:-1].replace('\\"', '"').replace("\\\\", "\\")
+        words.append(Word(unquoted, Location(file, number, token.column)))
+    return words
 
 
-def _bare(text: str) -> bool:
-    """Whether a line sets nothing."""
+def _is_blank(text: str) -> bool:
+    """Whether a line is blank or a comment."""
     stripped = text.strip()
     return not stripped or stripped.startswith("#")
 
 
-class Reader:
-    """Reads a file and what it includes; `errors` gathers what is wrong, and reading goes on."""
+class SettingsReader:
+    """Reads a file and its includes; after an error reading goes on, and `errors` collects them all."""
 
     def __init__(self) -> None:
         self.errors: list[str] = []
         self.files: list[str] = []
-        self._open: list[Path] = []
+        self._open: list[Path] = []  # the files being read, outermost first
 
     def read(self, path: Path) -> Iterator[list[Word]]:
-        """The lines that set something, those of included files in their place."""
+        """Yield the lines that are not blank; those of included files replace the `include` line."""
         self.files.append(str(path))
         try:
             with open(path, "rb") as source:
-                raw = source.read(FILE_MOST + 1)
+                raw = source.read(MAX_FILE_BYTES + 1)
             text = raw.decode("utf-8")
         except (OSError, UnicodeDecodeError) as exc:
             self.errors.append(f"{path}: {exc}")
             return
-        if len(raw) > FILE_MOST:
-            self.errors.append(f"{path}: longer than {FILE_MOST} bytes")
+        if len(raw) > MAX_FILE_BYTES:
+            self.errors.append(f"{path}: longer than {MAX_FILE_BYTES} bytes")
             return
         self._open.append(path.resolve())
         for number, line in enumerate(text.split("\n"), 1):
-            if _bare(line):
+            if _is_blank(line):
                 continue
             try:
                 words = _words(line, str(path), number)
@@ -122,19 +129,19 @@
 
     def _include(self, words: list[Word], within: Path) -> Iterator[list[Word]]:
         if len(words) != 2:
-            self.errors.append(f"{words[0].place}: include takes one pattern")
+            self.errors.append(f"{words[0].location}: include takes one pattern")
             return
-        # A pattern that names no file is none yet: conf.d may be empty.
+        # A pattern may match no file: conf.d may be empty.
         pattern = str(within.parent / words[1].text)
         found = sorted(glob.glob(pattern))
         if not found and not glob.has_magic(pattern):
-            self.errors.append(f"{words[1].place}: no file {words[1].text!r}")
+            self.errors.append(f"{words[1].location}: no file {words[1].text!r}")
         for name in found:
             path = Path(name)
             if path.resolve() in self._open:
-                self.errors.append(f"{words[1].place}: {name} includes itself")
-            elif len(self._open) >= DEPTH_MOST or len(self.files) >= FILES_MOST:
-                self.errors.append(f"{words[1].place}: too many includes")
+                self.errors.append(f"{words[1].location}: {name} includes itself")
+            elif len(self._open) >= MAX_INCLUDE_DEPTH or len(self.files) >= MAX_FILES:
+                self.errors.append(f"{words[1].location}: too many includes")
                 return
             else:
                 yield from self.read(path)
--- a/puffinford/server_list/entries.py
+++ b/puffinford/server_list/entries.py
@@ -49,7 +49,7 @@
     except ValueError:
         number = -1
     if not separator or not 0 <= number <= 65535:
-        raise BadEntry(f"{text!r} is no IP:PORT")
+        raise BadEntry(f"{text!r} is not IP:PORT")
     return host.strip("[]"), number
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' file: every error at once, each with its place; what is in force and from where."""
+"""The settings file: all errors at once, each with its location; the values in effect and their origin."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 GOOD = """
 # a comment
 section state
-    directory "/var/lib/a \\"b\\" # c"   # a quote keeps it
+    directory "/var/lib/a \\"b\\" # c"   # quotes preserve it
     size 8MiB
     fresh 90s
 section channels
@@ -46,7 +46,7 @@
         "section stat": "did you mean 'state'",
         "ignored here 5": None,
         "section state": None,
-        "  size 3x": "is no size",
+        "  size 3x": "is not a size",
         "  fresh 1h 2h": "takes one value",
         "  directory": "takes one value",
         "  bogus 4": "has no 'bogus'",
@@ -58,14 +58,14 @@
         "include": "takes one pattern",
         "include missing.conf": "no file",
         "section channels": None,
-        "  listen gateway:80": "is no IP:PORT",
+        "  listen gateway:80": "is not IP:PORT",
     }
     path.write_text("\n".join(lines))
     with pytest.raises(BadSettings) as raised:
         load_settings(path)
-    wanted = [(number, text) for number, text in enumerate(lines.values(), 1) if text]
-    assert len(raised.value.errors) == len(wanted)
-    for number, text in wanted:
+    expected = [(number, text) for number, text in enumerate(lines.values(), 1) if text]
+    assert len(raised.value.errors) == len(expected)
+    for number, text in expected:
         assert any(e.startswith(f"{path}:{number}:") and text in e for e in raised.value.errors), (
             number,
             text,
@@ -95,7 +95,7 @@
 
 
 def test_the_file_as_shipped_shows_every_default_and_costs_no_parser() -> None:
-    """Its comments are the reference: they may not drift from what is in force."""
+    """Guards against a shipped file that differs from the defaults, and against a needless slow import."""
     shown = {}
     section = ""
     for line in DEFAULT_FILE.read_text().splitlines():
@@ -106,8 +106,8 @@
             shown[section, words[0]] = words[1]
     assert shown == {row[:2]: row[2] for row in load_settings().table()}
     code = "import sys, puffinford.operators as o; o.load_settings(); print('lark' in sys.modules)"
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    assert done.stdout == "False\n"
+    completed = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+    assert completed.stdout == "False\n"
 
 
 @given(st.text(max_size=200))
@@ -149,10 +149,10 @@
     )[2].items()
     (tmp_path / "c.json").write_text('{"listen": "nowhere"}')
     (tmp_path / "i.csv").write_text("id,addr\ns-1,here\n")
-    more = ["--config", str(tmp_path / "c.json"), "--inventory", str(tmp_path / "i.csv")]
-    assert main(["check", "--settings", str(path), *more]) == 2
-    told = capsys.readouterr().err
-    assert "listen: 'nowhere' is no IP:PORT" in told and "i.csv:2: " in told
+    options = ["--config", str(tmp_path / "c.json"), "--inventory", str(tmp_path / "i.csv")]
+    assert main(["check", "--settings", str(path), *options]) == 2
+    errors = capsys.readouterr().err
+    assert "listen: 'nowhere' is not IP:PORT" in errors and "i.csv:2: " in errors
     path.write_text("section state\n size 1\n fresh 2\n")
     assert main(["check", "--settings", str(path)]) == 2
     assert len(capsys.readouterr().err.splitlines()) == 2
--- a/tests/test_relay_processes.py
+++ b/tests/test_relay_processes.py
@@ -270,16 +270,16 @@
 @pytest.mark.parametrize(
     ("lines", "place", "error"),
     [
-        (" upstream 10.0.0.1", ":2:11", "is no IP:PORT"),
-        (" upstream 10.0.0.1:80,10.0.0.1:80", ":2:11", "stands there twice"),
-        (" upstream 10.0.0.1:0", ":2:11", "names no port"),
+        (" upstream 10.0.0.1", ":2:11", "is not IP:PORT"),
+        (" upstream 10.0.0.1:80,10.0.0.1:80", ":2:11", "is listed twice"),
+        (" upstream 10.0.0.1:0", ":2:11", "has no port"),
         (" upstream none", "", "upstream names nothing"),
         (" upstream 10.0.0.1:80\n max-age 3s", ":3:10", "out of range"),
         (" upstream 10.0.0.1:80\n wait 900ms", ":3:2", "max-age must be twice wait"),
         (" upstream 10.0.0.1:80\n max-age 1500ms\n upstream-age 1s", ":4:2", "the ages add"),
         (" upstream 10.0.0.1:80\n log-entries 0", ":3:14", "out of range"),
-        (" upstream 10.0.0.1:80\n log-entries -1", ":3:14", "no whole number"),
-        (" upstream 10.0.0.1:80\n coalesce nan", ":3:11", "no duration"),
+        (" upstream 10.0.0.1:80\n log-entries -1", ":3:14", "not a whole number"),
+        (" upstream 10.0.0.1:80\n coalesce nan", ":3:11", "not a duration"),
     ],
 )
 def test_what_cannot_be_used_is_named_with_its_place(
