--- a/puffinford/__init__.py
+++ b/puffinford/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of a balancer that places long-lived connections."""
+"""A load balancer for long-lived connections; this package exports its decision module."""
 
 from puffinford.balance import Balancer
 from puffinford.interface import Settings
--- a/puffinford/__main__.py
+++ b/puffinford/__main__.py
@@ -1,4 +1,7 @@
-"""`python -m puffinford` alone serves, and leaves the command line's library out of memory."""
+"""Entry point of `python -m puffinford`.
+
+Without arguments it serves, and does not load the command-line library, to save memory.
+"""
 
 import sys
 
--- a/puffinford/interface.py
+++ b/puffinford/interface.py
@@ -1,8 +1,8 @@
 """The interface of the decision module: settings, events and actions.
 
-A host makes one `Balancer(settings, seed)` for each balancer and calls `handle(now, events)`, which
-returns the actions to carry out in order. Times are milliseconds; `now` never goes back. The module
-keeps no clock, does no input or output and starts no threads.
+A host creates one `Balancer(settings, seed)` for each balancer and calls `handle(now, events)`, which returns
+the actions to carry out in order. Times are in milliseconds, and `now` never decreases. The module reads no
+clock, does no input or output and starts no threads.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 
 class Effect(Enum):
-    """What a repeat of a request may do."""
+    """Whether a request may run more than once."""
 
-    SAFE = "safe"  # may be repeated and refused freely
-    KEYED = "keyed"  # repeats are dropped inside a group of servers, for a while
-    UNSAFE = "unsafe"  # may never run twice
+    SAFE = "safe"  # idempotent: may be repeated and refused at any time
+    KEYED = "keyed"  # a group of servers discards repeats within a window
+    UNSAFE = "unsafe"  # at most once
 
 
 class Scope(Enum):
-    """The group of servers that drops the repeats of a keyed request."""
+    """The group of servers that discards the repeats of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -28,31 +28,35 @@
 
 
 class ServerState(Enum):
+    """What a list says of a server."""
+
     LIVE = "live"
     DRAINING = "draining"
     GONE = "gone"
 
 
 class ListKind(Enum):
+    """How a list event relates to the list before it."""
+
     UPDATE = "update"  # changed entries only
     REPLACE = "replace"  # the complete list
-    RESTORED = "restored"  # the list last held before a restart, possibly stale
+    RESTORED = "restored"  # the last list from before a restart, possibly stale
     UNAVAILABLE = "unavailable"  # a list call failed or the subscription broke
 
 
 class FailureReason(Enum):
-    """Why the module gave a request up; said with its final answer."""
+    """Why a request was given up; part of the final answer."""
 
     ATTEMPTS = "attempts spent"
     TIME = "no time left"
-    DOWN = "every server unreachable"  # a trial is out after a backoff
-    LIMIT = "own load at its limit"  # most servers late: fewer connections, served in time
-    NO_SERVER = "no server can take it"  # tried, unreachable, late or cold at every one
-    RAN = "it may have run, and may not be repeated"  # the cause of every Fail
+    UNREACHABLE = "every server unreachable"  # one trial after each backoff interval
+    LIMIT = "own load at its limit"  # many servers are overloaded
+    NO_SERVER = "no server can take it"  # each one was tried, or is unreachable, slow or cold
+    MAY_HAVE_RUN = "it may have run, and may not be repeated"  # the reason of every Fail
 
 
 class Result(Enum):
-    """How an attempt or a probe ended. Only FULL, CONNECT_FAILED and MOOT prove it never ran."""
+    """How an attempt or a probe ended. Only FULL, CONNECT_FAILED and NOT_SENT prove that it never ran."""
 
     OK = "ok"
     ERROR = "error"
@@ -64,8 +68,8 @@
     NOT_SENT = "moot"
 
 
-TIME_MOST = 1e10  # ms; no site tells a longer time, and sums of longer ones are not exact
-_TIMES = (
+MAX_TIME_MS = 1e10  # sums with longer durations lose precision
+_DURATION_SETTINGS = (
     "ask_within",
     "park",
     "max_retry_after",
@@ -80,55 +84,59 @@
 
 @dataclass(slots=True)
 class RequestClass:
+    """The limits and the value of one class of requests."""
+
     name: str
-    deadline: float  # the client's whole wait
-    aim: float = 0.0  # an answer inside this time earns full worth
+    deadline: float  # the longest wait of the client for its answer, ms
+    aim: float = 0.0  # an answer within this time has its full value, ms
     effect: Effect = Effect.SAFE
     scope: Scope = Scope.ALL
-    window: float = 0.0  # how long a keyed request's repeats are dropped
+    window: float = 0.0  # how long repeats of a keyed request are discarded, ms
     value: float = 1.0
-    message_aim: float = 0.0  # wanted time of a message on an open connection
+    message_aim: float = 0.0  # wanted delay of a message on an open connection, ms; 0: none
 
 
 @dataclass(slots=True)
 class Tenant:
+    """A customer, with its share of the capacity."""
+
     name: str
     share: float = 0.0
     quota_per_s: float = 0.0
-    quota: float = 0.0  # open connections within its share, at all balancers; 0: not told
+    quota: float = 0.0  # open connections at all balancers; 0: not configured
 
 
 @dataclass(slots=True)
 class Settings:
-    """What a balancer is told at its start."""
+    """The configuration of a balancer. Durations are in ms; prices and worth are in points of the result."""
 
     classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
     zones: list[str] = field(default_factory=list)
     zone: str = ""
-    me: int = 0
+    me: int = 0  # index of this balancer, from 0
     balancers: int = 1
-    list_on_request: bool = False  # changes come only after Subscribe or ListAll
-    ask_within: float = 10_000.0
-    pass_through: bool = False  # packets pass through; connections outlive their balancer
-    park: float = 0.0  # how long a server keeps a connection whose packets stopped
-    tells_load: bool = False  # notes tell the load of a connection
-    tells_delay: bool = False  # notes tell how long a message takes at its server
-    grouped: bool = False  # connections of a group share work on a server
+    list_on_request: bool = False  # the list is sent only after Subscribe or ListAll
+    ask_within: float = 10_000.0  # longest time between list calls
+    pass_through: bool = False  # packets are forwarded, so connections outlive their balancer
+    park: float = 0.0  # how long a server keeps a connection without packets
+    tells_load: bool = False  # servers send load updates of connections
+    tells_delay: bool = False  # servers send updates of their message delay
+    grouped: bool = False  # connections of a group share work at a server
     max_attempts: int = 3
-    max_retry_after: float = 0.0  # 0 where clients are told no wait
+    max_retry_after: float = 0.0  # 0: refusals carry no retry-after
     connect_timeout: float = 250.0
     may_cancel: bool = False
     may_probe: bool = False
-    overlap: bool = False  # two attempts of a request may be out together
+    overlap: bool = False  # two attempts of a request may run at once
     tick: float = 1.0
     answer_slack: float = 0.0
     drain_grace: float = 1_000.0
-    cold_from: float = 1.0  # a server starts at this share of its capacity at least
-    warm_time: float = 0.0  # and is warm within this time
-    fall_multiple: float = 3.0  # sent more than this multiple of its present capacity ...
-    fall_window: float = 2_000.0  # ... for this long, a cold server falls over
-    sized: bool = False  # Server.weight tells a size
+    cold_from: float = 1.0  # minimum fraction of its capacity that a server starts with
+    warm_time: float = 0.0  # from the start of a server to its full capacity
+    fall_multiple: float = 3.0  # of its current capacity, over which a cold server fails
+    fall_window: float = 2_000.0  # if it is exceeded for this long
+    sized: bool = False  # Server.weight is the size of the server
     report_fields: list[str] = field(default_factory=list)
     report_on_probe: bool = False
     report_on_answer: bool = False
@@ -136,22 +144,22 @@
     move_price: float = 0.0
     cross_zone_price: float = 0.0
     over_share_worth: float = 1.0
-    worth_by_work: bool = False  # a class's value counts for each unit of work, not each request
+    worth_by_work: bool = False  # the value of a class is for each unit of work, not each request
 
     def __post_init__(self) -> None:
         if not self.classes:
             raise ValueError("settings: classes: at least one request class is needed")
         for cls in self.classes:
-            if not 0 < cls.deadline <= TIME_MOST:
+            if not 0 < cls.deadline <= MAX_TIME_MS:
                 raise ValueError(
-                    f"settings: classes.deadline of {cls.name}: must be above 0, up to {TIME_MOST:.0f} ms"
+                    f"settings: classes.deadline of {cls.name}: must be above 0, up to {MAX_TIME_MS:.0f} ms"
                 )
             for name in ("aim", "window", "message_aim"):
                 if getattr(cls, name) < 0:
                     raise ValueError(f"settings: classes.{name} of {cls.name}: must not be negative")
-        for name in _TIMES:
-            if not 0 <= getattr(self, name) <= TIME_MOST:
-                raise ValueError(f"settings: {name}: must be from 0 to {TIME_MOST:.0f} ms")
+        for name in _DURATION_SETTINGS:
+            if not 0 <= getattr(self, name) <= MAX_TIME_MS:
+                raise ValueError(f"settings: {name}: must be from 0 to {MAX_TIME_MS:.0f} ms")
         for tenant in self.tenants:
             if not 0 <= tenant.quota < float("inf"):
                 raise ValueError(f"settings: tenants.quota of {tenant.name}: must be 0 or a number above it")
@@ -169,7 +177,7 @@
 
 @dataclass(slots=True)
 class Server:
-    """One entry of a server list."""
+    """An entry of a server list."""
 
     id: str
     zone: str = ""
@@ -177,7 +185,7 @@
     cell: int = 0
     state: ServerState = ServerState.LIVE
     weight: float = 1.0
-    started: float = 0.0  # time of its latest start; 0: long ago
+    started: float = 0.0  # time of its latest start, ms; 0: unknown, and long ago
 
 
 # Events
@@ -185,6 +193,8 @@
 
 @dataclass(slots=True)
 class ServerList:
+    """A server list, or changes of it."""
+
     kind: ListKind
     servers: list[Server] = field(default_factory=list)
     version: int = 0
@@ -192,67 +202,68 @@
 
 @dataclass(slots=True)
 class Cordoned:
-    """The servers that operators have taken out, all of them, whatever lists name. One that is no longer
-    among them has been put back, and may have restarted meanwhile."""
+    """The complete set of servers that operators have cordoned, which replaces the previous one.
+
+    A server that is no longer in it is in use again, and may have been restarted.
+    """
 
     servers: frozenset[str] = frozenset()
 
 
 @dataclass(slots=True)
 class UnverifiedServers:
-    """Entries of a restored list that have to prove themselves, until a claim stands there or discovery
-    speaks.
+    """Entries of a restored list that are unverified until a connection is up or discovery answers.
 
-    At most `most` claims are out to them together (0: any number), each for `patience` ms where its
-    request may be repeated. It comes after the restored list.
+    At most `max_concurrent` attempts at them run at once (0: any number), each for `attempt_timeout` ms if
+    its request may be repeated. The event follows the restored list.
     """
 
     servers: frozenset[str] = frozenset()
-    most: int = 0
-    patience: float = 400.0
+    max_concurrent: int = 0
+    attempt_timeout: float = 400.0
 
 
 @dataclass(slots=True)
 class Health:
-    """What is known of one server besides its place in the list. Times are the host's, in ms."""
+    """The health of one server, as observed by a balancer. Times are on the host's clock, in ms."""
 
     server: str
-    observed_at: float  # when it was so: a server that has started since is another
-    failures: int = 0  # failed trials on end; 0: reachable
+    observed_at: float  # obsolete if the server has started since
+    failures: int = 0  # in a row; 0: reachable
     retry_at: float = 0.0  # when the next trial is due
-    unreachable_since: float | None = None  # since when it has taken no connection
-    slow_until: float = 0.0  # passed over for slow messages
-    late_report_at: float = 0.0  # its messages were last too late; 0: never
-    delay: float = 0.0  # what a message took there then, in ms
-    capacity_estimate: float | None = None  # own load that it can carry, in mean connections ...
-    capacity_estimated_at: float = 0.0  # ... as late messages showed then
-    cold_since: float | None = None  # it started then, and may still be cold
+    unreachable_since: float | None = None  # first of the current failures to connect
+    slow_until: float = 0.0  # skipped until then for slow messages
+    late_report_at: float = 0.0  # last report of late messages; 0: never
+    delay: float = 0.0  # of a message at that report, ms
+    capacity_estimate: float | None = None  # own load that it can carry, in mean connections
+    capacity_estimated_at: float = 0.0  # last late report; 0: never
+    cold_since: float | None = None  # its start, if it may still be cold
 
 
 @dataclass(slots=True)
 class LearnedHealth:
-    """What another process of this balancer has learned. It never outweighs what this one has seen."""
+    """Health observed by another process of this balancer; own observations take precedence."""
 
     entries: list[Health] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Relocate:
-    """Move a standing connection, and keep a place for its client at `server` for `hold` ms.
+    """Move a connection, and reserve a slot at `server` for its client for `reservation_time` ms.
 
-    Nothing happens where the connection no longer stands or the server cannot take it.
+    Ignored if the connection has ended or the server cannot take it.
     """
 
     id: str
     server: str
-    hold: float
+    reservation_time: float
 
 
 @dataclass(slots=True)
 class PreferServers:
-    """Servers to which clients that come back are sent first, until the next such event; none ends it.
+    """Servers that are preferred for clients that came back, until the next such event.
 
-    A client that another balancer moved has its place kept there, and may come here: it finds these instead.
+    Serves moved clients that return to another balancer than the one that holds their reservation.
     """
 
     servers: frozenset[str] = frozenset()
@@ -260,23 +271,23 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client wants a connection; it is owed one final answer within `left`."""
+    """A client requests a connection; it gets one final answer within `time_left` ms."""
 
     id: str
     cls: str
-    left: float
+    time_left: float
     tenant: str | None = None
     came_back: bool = False
     retry: bool = False
     group: int | None = None
     midflow: bool = False
-    load: float | None = None  # expected work a second
+    load: float | None = None  # expected work in ms per second
     key: int | None = None
 
 
 @dataclass(slots=True)
 class Inherited:
-    """A connection that already stands on `server`: its attempt 0 counts as made."""
+    """A connection that is already established at `server`; it counts as attempt 0."""
 
     request: Request
     server: str
@@ -284,6 +295,8 @@
 
 @dataclass(slots=True)
 class Established:
+    """The connection of an attempt is up; `latency` in ms."""
+
     id: str
     attempt: int
     server: str
@@ -292,7 +305,7 @@
 
 @dataclass(slots=True)
 class LoadUpdate:
-    """The load of an open connection has changed, in microseconds of work a second."""
+    """The load of an open connection has changed, in microseconds of work per second."""
 
     id: str
     server: str
@@ -301,7 +314,7 @@
 
 @dataclass(slots=True)
 class DelayUpdate:
-    """How long a message on this server takes now."""
+    """The message delay of a server has changed, in ms."""
 
     id: str
     server: str
@@ -310,7 +323,7 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """An attempt has ended; with `closed` unset a final answer is still owed."""
+    """An attempt has ended; unless `closed`, the request still needs a final answer."""
 
     id: str
     attempt: int
@@ -323,16 +336,22 @@
 
 @dataclass(slots=True)
 class ClientLeft:
+    """A client has closed its connection or given up waiting."""
+
     id: str
 
 
 @dataclass(slots=True)
 class Timer:
+    """A wake-up requested by SetTimer has arrived."""
+
     token: int
 
 
 @dataclass(slots=True)
 class ProbeResult:
+    """A probe has ended; `latency` in ms, `report` in the order of `Settings.report_fields`."""
+
     server: str
     result: Result
     latency: float
@@ -341,6 +360,8 @@
 
 @dataclass(slots=True)
 class PeerMessage:
+    """A message from another balancer."""
+
     sender: int
     data: bytes
 
@@ -369,28 +390,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerSnapshot:
-    """One server as the module sees it; loads are own ones, in mean connections."""
+    """The state of one server; loads are of this balancer, in mean connections."""
 
     server: str
-    load: float  # with what groups cost
-    capacity: float  # by size and warmth; 0 where it takes nothing new
-    usable: bool  # reachable, not slow, and with room: a place to move to
-    degraded: bool  # its messages are late, or it is unreachable
+    load: float  # with the cost of its groups
+    capacity: float  # by size and warmth; 0 if it takes no new connections
+    usable: bool  # can be the target of a move: reachable, not slow, with capacity
+    degraded: bool  # overloaded or unreachable
     connection_count: int
 
 
 @dataclass(frozen=True, slots=True)
 class EstablishedConnection:
-    """One standing connection as the module sees it."""
+    """An established connection."""
 
     id: str
     key: int
     cls: str
     load: float
     group: int | None
-    placed_at: float  # when, in ms of the host's time
-    came_back: bool  # its client had been moved or cut off before
-    group_size: int  # own connections of its group at that server, itself among them; 0 without a group
+    placed_at: float  # time of its attempt, ms on the host's clock
+    came_back: bool  # its client was moved or disconnected before
+    group_size: int  # own connections of its group at that server, with itself; 0 without a group
 
 
 # Actions
@@ -398,10 +419,10 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """Send the request to a server; `timeout` 0 means until the client gives up.
+    """Send the request to a server; with `timeout` (ms) 0, until the client gives up.
 
-    It may begin before `until` (ms on the module's clock) and no later, connecting included: after that a
-    repeat could run a second time.
+    The request may be sent before `until` (ms) only, after connecting: later a repeat could run a second
+    time.
     """
 
     id: str
@@ -412,13 +433,15 @@
 
 @dataclass(slots=True)
 class Cancel:
+    """Abort an attempt."""
+
     id: str
     attempt: int
 
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: turned away, trying again does no harm."""
+    """Final answer: refused; a retry by the client is harmless."""
 
     id: str
     retry_after: float = 0.0
@@ -427,7 +450,7 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, nothing promised about its effect."""
+    """Final answer: failed; the request may have run."""
 
     id: str
     reason: FailureReason = FailureReason.NO_SERVER
@@ -435,39 +458,51 @@
 
 @dataclass(slots=True)
 class Move:
-    """Close an open connection politely; the client comes again."""
+    """Ask the client of an open connection to reconnect, and close it."""
 
     id: str
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Request a Timer event after `delay` ms."""
+
     delay: float
     token: int
 
 
 @dataclass(slots=True)
 class Probe:
+    """Ask a server for its health and load."""
+
     server: str
 
 
 @dataclass(slots=True)
 class CloseIdle:
+    """Close idle connections to a server."""
+
     server: str
 
 
 @dataclass(slots=True)
 class Subscribe:
+    """Start or stop a subscription to the server list."""
+
     on: bool = True
 
 
 @dataclass(slots=True)
 class ListAll:
+    """Request the complete server list."""
+
     pass
 
 
 @dataclass(slots=True)
 class Log:
+    """Write a message to the log."""
+
     message: str
 
 
--- a/puffinford/slow_start.py
+++ b/puffinford/slow_start.py
@@ -1,8 +1,9 @@
-"""Slow start: what a server that has just started may be sent, by all balancers together.
+"""Slow start: limits what all balancers together send to a server that has just started.
 
-The source of the budget is the operators' rule: in each fall window a cold server bears `fall_multiple` times
-what fills it in its warm-up at its present capacity, N, with 2 roots of N and 2 for chance. The balancers
-share it by turns, numbered from the start that the list tells, and tell each other nothing. Times are ms.
+In each fall window a cold server may receive `fall_multiple` times the connections that would fill its
+current capacity over its warm-up time, plus an allowance for random variation. The balancers share this
+budget by turns, which are numbered from the listed start of the server, without communicating. Times are in
+ms.
 """
 
 from __future__ import annotations
@@ -11,14 +12,14 @@
 from puffinford.decision_state import Backend
 from puffinford.fleet import Fleet
 
-CARRIES_STEP = 0.2  # a change of what servers carry after which turns are counted anew, as a part of it
-SLACK = 3.0  # times the budget told: it is the least a server can do, and chance is allowed for ...
-CHANCE = 2.0  # ... but no more than so many times its root, and so many
-TURN_FOR = 1.0  # fall windows that a balancer's turn at a cold server lasts, if it has nobody to send at once
-TURN_LOOK = 2.0  # fall windows for which it may be taken, at most, that a cold server has no turn to give
-WINDOW = 1_000.0  # the fall window, where settings tell none ...
-WINDOW_LEAST = 1.0  # ... and the shortest: no clock here tells less
-TURNS_LEAST = 1e-9  # of the whole fleet in a window: as good as none, and a rate that can be divided by
+WARM_CAPACITY_STEP_RATIO = 0.2  # relative change of the warm capacity after which turns are renumbered
+MAX_BUDGET_RATIO = 3.0  # of the budget with the allowance to the one without
+DEVIATION_ALLOWANCE = 2.0  # standard deviations, and connections
+TURN_DURATION_WINDOWS = 1.0  # fall windows in which a turn may be used
+MAX_TURN_CHECK_WINDOWS = 2.0  # fall windows until a cold server is checked again at the latest
+DEFAULT_FALL_WINDOW_MS = 1_000.0
+MIN_FALL_WINDOW_MS = 1.0
+MIN_TURNS_PER_WINDOW = 1e-9  # keeps divisions by the rate defined
 
 
 class SlowStart:
@@ -27,86 +28,98 @@
     def __init__(self, settings: it.Settings, fleet: Fleet) -> None:
         self._settings = settings
         self._fleet = fleet
-        self._born = float("inf")  # the first moment of this process
+        self._first_seen_at = float("inf")  # earliest time seen by this process
 
     def configure(self, settings: it.Settings) -> None:
-        """Go on under other settings."""
+        """Apply new settings."""
         self._settings = settings
 
-    def begin(self, now: float) -> None:
-        """A moment of this process; the first counts."""
-        self._born = min(self._born, now)
+    def observe_time(self, now: float) -> None:
+        """Record the first time that this process sees."""
+        self._first_seen_at = min(self._first_seen_at, now)
 
     def warmth(self, backend: Backend, now: float) -> float:
-        """The share of its capacity that a server can be counted on for now; 1 when warm."""
+        """The usable fraction of a server's capacity now; 1 when warm."""
         if backend.cold_since is None:
             return 1.0
         age = now - backend.cold_since
         if age >= self._settings.warm_time:
             backend.cold_since = None
             return 1.0
-        low = self._settings.cold_from
-        return low + (1.0 - low) * max(age, 0.0) / self._settings.warm_time
+        initial = self._settings.cold_from
+        return initial + (1.0 - initial) * max(age, 0.0) / self._settings.warm_time
 
     def has_turn(self, backend: Backend, now: float) -> bool:
-        """Whether this balancer has a turn at a server now; at a warm one always.
+        """Whether this balancer has a turn at a server now; always true for a warm one.
 
-        Guards against all balancers together pushing over a server that has just started: what a shared event
-        brings comes to all of them in one second, and credit that each had saved alone was spent at once.
-        The turns of the whole fleet are numbered from the start that the list tells, at the rate that its
-        budget allows, and go round the balancers; one that is not used in time is lost.
+        Prevents all balancers together from overloading a server that has just started, for instance when a
+        shared event brings clients to all of them in one second. Turns are numbered at the rate that the
+        budget allows and go round the balancers; an unused one expires, since saved turns could all be used
+        at once.
         """
-        if backend.credit < 1.0 and now < backend.turn_due:
+        if backend.turn_credit < 1.0 and now < backend.next_turn_at:
             return False
         warmth = self.warmth(backend, now)
         if warmth >= 1.0:
             return True
         settings = self._settings
         balancers = settings.balancers
-        window = max(WINDOW_LEAST, settings.fall_window or WINDOW)
-        changed = self._note_carries(backend)
-        each = self._turns_each(backend, warmth, window)
+        window = max(MIN_FALL_WINDOW_MS, settings.fall_window or DEFAULT_FALL_WINDOW_MS)
+        renumbered = self._update_warm_capacity(backend)
+        turns_per_window = self._turns_per_window(backend, warmth, window)
         age = now - (backend.cold_since or 0.0)
-        low = settings.cold_from
-        grown = (low + (warmth - low) / 2.0) / warmth  # mean warmth since the start, over the present one
-        given = each * grown * max(age, 0.0) / window  # turns of the whole fleet up to now
-        place = 1 + (settings.me + backend.reach) % balancers
-        turn = int((given - place) // balancers)
-        since = given - place - turn * balancers  # turns of the fleet since the own one
-        if changed and backend.turn >= 0:
-            backend.turn = turn  # guards a cold server against waiting for turns counted by another figure
-        if turn > backend.turn:
-            # Guards against a turn that this balancer's last process may have used: it starts with the next.
-            begun = now - since / each * window
-            fresh = backend.turn >= 0 or begun >= self._born
-            backend.turn = turn
-            backend.credit = float(fresh)
-            backend.credit_until = now + window * (TURN_FOR - since / each)
-        if now > backend.credit_until:
-            backend.credit = 0.0
-        # Guards the core against asking each of thousands of cold servers at each placing. Turns come no
-        # faster than at twice the present rate until the server's warmth has doubled.
-        missing = place + (turn + 1) * balancers - given
-        doubled = warmth * settings.warm_time / (1.0 - low)
-        left = settings.warm_time - age
-        backend.turn_due = now + min(TURN_LOOK * window, missing * window / (2.0 * each), doubled, left)
-        return backend.credit >= 1.0
+        initial = settings.cold_from
+        mean_ratio = (initial + (warmth - initial) / 2.0) / warmth  # mean warmth so far over the current one
+        fleet_turns = turns_per_window * mean_ratio * max(age, 0.0) / window  # of all balancers up to now
+        offset = 1 + (settings.me + backend.id_hash) % balancers
+        turn = int((fleet_turns - offset) // balancers)
+        turns_since = fleet_turns - offset - turn * balancers  # of all balancers since the last own one
+        if renumbered and backend.last_turn >= 0:
+            backend.last_turn = turn  # else no turn comes until the new numbers exceed the old ones
+        if turn > backend.last_turn:
+            # Prevents reuse of a turn that a previous process of this balancer may have used.
+            turn_started_at = now - turns_since / turns_per_window * window
+            unused = backend.last_turn >= 0 or turn_started_at >= self._first_seen_at
+            backend.last_turn = turn
+            backend.turn_credit = float(unused)
+            backend.turn_credit_expires_at = now + window * (
+                TURN_DURATION_WINDOWS - turns_since / turns_per_window
+            )
+        if now > backend.turn_credit_expires_at:
+            backend.turn_credit = 0.0
+        # Avoids a check of thousands of cold servers at each placement. Until the warmth has doubled, turns
+        # come at most at twice the current rate.
+        turns_until_next = offset + (turn + 1) * balancers - fleet_turns
+        doubling_time = warmth * settings.warm_time / (1.0 - initial)
+        time_to_warm = settings.warm_time - age
+        backend.next_turn_at = now + min(
+            MAX_TURN_CHECK_WINDOWS * window,
+            turns_until_next * window / (2.0 * turns_per_window),
+            doubling_time,
+            time_to_warm,
+        )
+        return backend.turn_credit >= 1.0
 
-    def _note_carries(self, backend: Backend) -> bool:
-        """Take in what servers carry; tells whether that has changed so far that turns count anew."""
-        warm_capacity = self._fleet.warm_capacity * min(1.0, self._fleet.share(backend))
-        changed = abs(warm_capacity - backend.warm_capacity) > CARRIES_STEP * warm_capacity
+    def _update_warm_capacity(self, backend: Backend) -> bool:
+        """Store a server's warm capacity; returns whether it changed so much that turns are renumbered."""
+        warm_capacity = self._fleet.warm_capacity * min(1.0, self._fleet.relative_size(backend))
+        changed = abs(warm_capacity - backend.warm_capacity) > WARM_CAPACITY_STEP_RATIO * warm_capacity
         if changed:
             backend.warm_capacity = warm_capacity
         return changed
 
-    def _turns_each(self, backend: Backend, warmth: float, window: float) -> float:
-        """Turns of the whole fleet in a window.
+    def _turns_per_window(self, backend: Backend, warmth: float, window: float) -> float:
+        """Turns of all balancers in a fall window.
 
-        The budget of a window has to hold the turns that fall into it and those left from before.
+        The budget of a window covers the turns that start in it and the unused ones from before.
         """
         fill = backend.warm_capacity * warmth * window / self._settings.warm_time
         allowed = self._settings.fall_multiple * fill
-        # Less one: a window that begins at a turn holds one more than the rate tells.
-        budget: float = min(SLACK * allowed, allowed + CHANCE * allowed**0.5 + CHANCE - 1.0)
-        return max(TURNS_LEAST, budget / (1.0 + TURN_FOR), budget - self._settings.balancers)
+        # Less one: a window that starts with a turn contains one more than the rate gives.
+        budget: float = min(
+            MAX_BUDGET_RATIO * allowed,
+            allowed + DEVIATION_ALLOWANCE * allowed**0.5 + DEVIATION_ALLOWANCE - 1.0,
+        )
+        return max(
+            MIN_TURNS_PER_WINDOW, budget / (1.0 + TURN_DURATION_WINDOWS), budget - self._settings.balancers
+        )
--- a/puffinford/text_table.py
+++ b/puffinford/text_table.py
@@ -1,24 +1,24 @@
-"""Tables for people."""
+"""Plain-text tables for command output and reports."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
 
 
-def format_table(heads: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
-    """Columns as wide as they need to be, without trailing spaces; numbers stand at the right."""
+def format_table(headers: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
+    """Format rows as columns of minimum width; numeric columns are right-aligned."""
     lines = [[str(cell) for cell in row] for row in rows]
-    widths = [max(len(cell) for cell in column) for column in zip(heads, *lines, strict=True)]
+    widths = [max(len(cell) for cell in column) for column in zip(headers, *lines, strict=True)]
     numeric = [
         bool(lines) and all(cell.replace(".", "", 1).removeprefix("-").isdigit() for cell in column)
         for column in zip(*lines, strict=True)
-    ] or [False] * len(heads)
+    ] or [False] * len(headers)
 
-    def line(cells: Sequence[str]) -> str:
+    def format_line(cells: Sequence[str]) -> str:
         aligned = (
             cell.rjust(width) if right else cell.ljust(width)
             for cell, width, right in zip(cells, widths, numeric, strict=True)
         )
         return "  ".join(aligned).rstrip()
 
-    return "\n".join(map(line, [list(heads), *lines]))
+    return "\n".join(map(format_line, [list(headers), *lines]))
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -1,4 +1,4 @@
-"""The decisions, driven through the interface by scripted events."""
+"""Decisions of one balancer, driven through its interface by scripted events."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 class Script:
-    """A balancer and a clock."""
+    """A balancer with a settable clock."""
 
     def __init__(self, given: Settings, count: int = 0, seed: int = 1) -> None:
         self.balancer = Balancer(given, seed)
@@ -69,7 +69,7 @@
         return self.play(Request(ident, cls, left, **fields))  # type: ignore[arg-type]
 
     def open(self, ident: str, **fields: object) -> str:
-        """A connection that stands; tells its server."""
+        """Open a connection, and return its server."""
         server = sent(self.ask(ident, **fields)).server  # type: ignore[arg-type]
         self.play(Established(ident, 0, server, 5.0))
         return server
@@ -88,7 +88,7 @@
     return [type(action).__name__ for action in actions if not isinstance(action, SetTimer)]
 
 
-# The ordinary path
+# Placement
 
 
 def test_ties_go_to_the_head() -> None:
@@ -110,12 +110,12 @@
 
 
 def test_the_prefix_grows_with_own_connections() -> None:
-    """A balancer that got a fifth of all traffic left 27 of 30 servers to the others."""
+    """A balancer that receives max_count clients must not overload a short prefix of the servers."""
     script = Script(settings(balancers=150, tenants=[Tenant("all", 1.0, quota=1_200.0)]), 30)
     homes = [script.open(f"r{n}") for n in range(180)]
     assert len(set(homes[:30])) <= 3, "few while it holds few"
-    most = max(homes.count(home) for home in homes)
-    assert len(set(homes)) >= 24 and most <= 20, f"{most} at one server: a server carries 80"
+    max_count = max(homes.count(home) for home in homes)
+    assert len(set(homes)) >= 24 and max_count <= 20, f"{max_count} at one server, of a capacity of 80"
 
 
 def test_one_balancer_works_on_the_whole_fleet() -> None:
@@ -198,7 +198,7 @@
 
 @pytest.mark.parametrize("before", [0, 1])
 def test_servers_that_a_list_brings_are_used_at_once(before: int) -> None:
-    """A start without a list went on refusing for up to a second after it had come."""
+    """The backoff of a total failure must not delay the use of newly listed servers."""
     script = Script(settings(), before)
     for n in range(3):
         actions = script.ask(f"a{n}")
@@ -264,7 +264,7 @@
     assert sent(script.ask("b", key=7, midflow=True)).server != server
 
 
-# No effect twice
+# At most one effect
 
 
 def effects(effect: Effect, scope: Scope = Scope.ALL) -> Settings:
@@ -302,7 +302,7 @@
     script = Script(effects(Effect.KEYED), 3)
     server = sent(script.ask("a")).server
     actions = script.play(Outcome("a", 0, server, Result.TIMEOUT, 500.0), after=500.0)
-    assert kinds(actions) == ["Refuse"]  # all servers drop its repeats: trying again is harmless
+    assert kinds(actions) == ["Refuse"]  # all servers discard repeats: a retry is harmless
 
 
 def test_keyed_in_a_cell_stays_there() -> None:
@@ -348,7 +348,7 @@
     assert all(0.0 < wait <= 1_000.0 for wait in waits)
 
 
-# The list
+# Server list
 
 
 def test_nothing_new_to_draining_or_gone_servers() -> None:
@@ -375,7 +375,7 @@
             )
         )
         moves = kinds(actions).count("Move")
-        assert moves <= 1, "one after the other"
+        assert moves <= 1, "spread evenly"
         moved += moves
     assert moved == len(held) > 5
     for kind in (ListKind.REPLACE, ListKind.UPDATE):
@@ -387,7 +387,7 @@
     assert sent(first).server == "10.0.0.0:80", "tried at once"
     assert sent(script.end("t1", "10.0.0.0:80", Result.CONNECT_FAILED)).server == "10.0.0.1:80"
     script.play(after=600.0)
-    assert script.open("t2") == "10.0.0.0:80", "a trial that it never heard of takes nothing from it"
+    assert script.open("t2") == "10.0.0.0:80", "a failed connect uses no turn credit"
     assert [script.open(f"after{n}") for n in range(20)].count("10.0.0.0:80") <= 1, "cold"
 
 
@@ -398,7 +398,7 @@
         for step in range(9_000):
             if Subscribe(True) in script.play(after=1.0):
                 return float(step)
-        raise AssertionError("never asked")
+        raise AssertionError("no list call")
 
     waits = {first_ask(seed) for seed in range(6)}
     assert len(waits) > 3
@@ -411,7 +411,7 @@
             if Subscribe(True) in script.play(after=1.0):
                 break
         else:
-            raise AssertionError("left unasked past the limit")
+            raise AssertionError("no list call within the limit")
         script.play(ServerList(ListKind.UNAVAILABLE))
 
 
@@ -428,14 +428,14 @@
     server = sent(script.ask("a")).server
     script.end("a", server, Result.CONNECT_FAILED)
     script.play(ServerList(ListKind.UPDATE, [replace(only, started=script.now)]))
-    assert kinds(script.ask("b")) == ["Refuse"]  # nothing was served yet: no part of the budget
+    assert kinds(script.ask("b")) == ["Refuse"]  # no budget right after the start
     script.play(after=10_001.0)
     assert kinds(script.ask("c")) == ["Attempt"]
 
 
 @pytest.mark.parametrize("away", [False, True])
 def test_a_server_is_cold_after_a_trial_only_if_it_was_away(away: bool) -> None:
-    """One broken connection made a server cold for 23 s; with three of five like that nobody was placed."""
+    """A single dropped connection must not put a server into slow start."""
     script = Script(settings(cold_from=0.2, warm_time=23_000.0), 1)
     first = script.open("a")
     script.end("a", first, Result.RESET, closed=True)
@@ -453,7 +453,7 @@
     homes = [script.open(f"r{n}") for n in range(2)]
     for n, home in enumerate(homes):
         script.end(f"r{n}", home, Result.RESET, closed=True)
-    assert kinds(script.ask("a")) == ["Attempt"], "no time has passed"
+    assert kinds(script.ask("a")) == ["Attempt"], "without a delay"
 
 
 def test_connections_that_a_server_drops_together_count_as_one_failure() -> None:
@@ -468,12 +468,12 @@
 
 
 @pytest.mark.parametrize("result", [Result.TIMEOUT, Result.RESET, Result.CANCELLED, Result.OK])
-def test_what_went_to_a_server_before_its_trial_says_nothing_of_the_trial(result: Result) -> None:
-    """Claims of before ended while the trial was out; a second one went beside it to a silent server."""
+def test_attempts_from_before_a_trial_do_not_end_it(result: Result) -> None:
+    """A second trial must not be sent to a silent server while one is in progress."""
     script = Script(settings(), 2)
     homes = {f"r{n}": sent(script.ask(f"r{n}")).server for n in range(8)}
     silent = homes["r0"]
-    before = [job for job, home in homes.items() if home == silent]
+    before = [ident for ident, home in homes.items() if home == silent]
     script.end(before[0], silent, Result.TIMEOUT)
     assert sent(script.ask("t", left=8_000.0)).server != silent
     assert sent(script.play(Request("trial", "safe", 8_000.0), after=500.0)).server == silent
@@ -483,36 +483,36 @@
     assert silent not in later, "one trial at a time"
 
 
-def test_a_cold_server_without_room_is_tried_again_later() -> None:
-    """Its trial counted as out though nothing was sent: it stayed unreachable for good."""
+def test_a_cold_server_without_a_turn_is_tried_again_later() -> None:
+    """A trial that was not sent must not count as in progress, or the server stays unreachable."""
     script = Script(settings(cold_from=0.2, warm_time=10_000.0, balancers=1), 2)
     homes = [script.open(f"r{n}") for n in range(2)]
     cold = homes[0]
     script.play(ServerList(ListKind.UPDATE, [Server(cold, started=script.now)]))
     script.end("r0", cold, Result.RESET, closed=True)
-    script.balancer._fleet.backends[cold].credit = 0.0
+    script.balancer._fleet.backends[cold].turn_credit = 0.0
     assert [script.open(f"s{n}") for n in range(2) if not script.play(after=30.0)] == [homes[1]] * 2
     script.play(after=10_000.0)  # warm by now
     assert cold in {script.open(f"t{n}") for n in range(4)}
 
 
 def test_a_new_process_fills_cold_servers_by_their_part_of_the_load() -> None:
-    """It had seen nothing end, so cold servers got nothing, and the one warm one was pushed under."""
+    """Cold servers must get their share from the start, or the warm one is overloaded."""
     script = Script(settings(cold_from=0.2, warm_time=10_000.0, balancers=1))
     cold = [Server(f"cold-{n}", started=script.now) for n in range(4)]
     script.play(ServerList(ListKind.REPLACE, [Server("warm"), *cold]))
     homes = [script.open(f"r{n}") for n in range(30) if not script.play(after=30.0)]
     each = [homes.count(server.id) for server in cold]
-    # After 0.9 s each can do 0.27 of what a warm one can; half as much again is allowed.
+    # After 0.9 s each has 0.27 of the warm capacity; 1.5 times its share is allowed.
     assert min(each) >= 2 and max(each) <= 0.27 * 1.5 * 30 / (1.0 + 4 * 0.27) + 1
 
 
-def test_past_the_room_of_a_late_server_clients_are_told_when_to_come_back() -> None:
-    """With the others away, all new connections went to the server that was late already."""
+def test_clients_beyond_the_capacity_of_a_late_server_are_refused_with_a_retry_after() -> None:
+    """A late server must not receive all new connections when it is the only one left."""
     script = Script(settings(), 1)
     (home,) = {script.open(f"r{n}") for n in range(10)}
     script.play(DelayUpdate("r0", home, 40.0))
-    assert script.open("slow") == home, "late for some, but with room"
+    assert script.open("slow") == home, "slow, but with capacity"
     script.play(DelayUpdate("r0", home, 90.0))
     assert kinds(script.ask("late")) == ["Refuse"]
 
@@ -528,7 +528,7 @@
 
 
 def test_settings_without_a_fall_window_do_not_stop_decisions() -> None:
-    """A window of 0 divided by zero at the first cold server."""
+    """A fall window of 0 must not cause a division by zero."""
     script = Script(settings(cold_from=0.2, warm_time=10_000.0, fall_window=0.0), 2)
     script.play(ServerList(ListKind.UPDATE, [replace(servers(1)[0], started=script.now)]))
     assert all(script.open(f"r{n}") for n in range(20) if not script.play(after=100.0))
@@ -539,7 +539,7 @@
     script = Script(given)
     warm, cold = servers(2)
     script.play(ServerList(ListKind.REPLACE, [warm, replace(cold, started=script.now)]))
-    for n in range(20):  # ten seconds of two connections a second that end well
+    for n in range(20):  # two connections a second for ten seconds
         script.play(after=500.0)
         server = script.open(f"r{n}")
         script.end(f"r{n}", server, Result.OK, closed=True)
@@ -562,7 +562,7 @@
     assert Subscribe(True) in script.play(Timer(again.token), after=0.02)
 
 
-# Load: notes, probes, moves, the limit
+# Load: updates, probes, moves, the limit
 
 
 def test_slow_servers_are_passed_over_until_they_are_back() -> None:
@@ -594,7 +594,7 @@
 
 @pytest.mark.parametrize(("late", "moves"), [(1, [14]), (2, [14, 7])])
 def test_a_late_server_sheds_most_at_once_and_less_where_others_are_late(late: int, moves: list[int]) -> None:
-    """One move a note left seventy clients of a restarted balancer unserved for ten seconds."""
+    """A move of one connection for each update would relieve an overloaded server too slowly."""
     script = Script(settings(balancers=1), 3)
     for n in range(80):
         script.play(Inherited(Request(f"r{n}", "safe", 0.0), f"10.0.0.{n % 4}:80"))
@@ -608,27 +608,27 @@
     ("here", "there", "moves"),
     [(1.7, 0.1, 9), (1.7, 0.8, 1), (1.7, 0.9, 0), (0.8, 0.1, 0), (None, 0.1, 14)],
 )
-def test_a_late_server_loses_what_reports_say_is_over_and_others_have_room_for(
+def test_a_late_server_loses_its_excess_load_as_far_as_others_have_capacity(
     here: float | None, there: float, moves: int
 ) -> None:
-    """Most clients went at once whatever it held: the next server was late then, and they came back."""
-    told = settings(balancers=1, report_fields=["x0"], report_on_probe=True, may_probe=True)
-    script = Script(told, 2)
+    """Moving more than the excess would overload the next server, and move clients back and forth."""
+    configured = settings(balancers=1, report_fields=["x0"], report_on_probe=True, may_probe=True)
+    script = Script(configured, 2)
     for n in range(40):
         script.play(Inherited(Request(f"r{n}", "safe", 0.0), f"10.0.0.{n % 2}:80"))
     script.play(ProbeResult("10.0.0.1:80", Result.OK, 1.0, [there]))
     noted = script.play(DelayUpdate("r0", "10.0.0.0:80", 500.0))
     assert [action for action in noted if isinstance(action, Probe)] == [Probe("10.0.0.0:80")]
-    assert "Move" not in kinds(noted), "not before the report is there"
+    assert "Move" not in kinds(noted), "not before the report has arrived"
     report = None if here is None else [here]
     result = Result.TIMEOUT if here is None else Result.OK
     assert kinds(script.play(ProbeResult("10.0.0.0:80", result, 1.0, report))).count("Move") == moves
 
 
 def limited(**changes: object) -> Script:
-    """A balancer that three late servers of five have made limit its own load; their strain is over."""
-    told = settings(balancers=1, report_fields=["x0"], report_on_probe=True, may_probe=True, **changes)
-    script = Script(told, 5)
+    """A balancer with a load limit, caused by three of five servers that are no longer overloaded."""
+    configured = settings(balancers=1, report_fields=["x0"], report_on_probe=True, may_probe=True, **changes)
+    script = Script(configured, 5)
     for n in range(100):
         script.play(Inherited(Request(f"r{n}", "safe", 0.0), f"10.0.0.{n % 5}:80"))
     for _ in range(2):
@@ -639,20 +639,20 @@
 
 
 @pytest.mark.parametrize(("others", "moves"), [(0, True), (1, False)])
-def test_one_late_server_is_relieved_though_a_limit_still_stands(others: int, moves: bool) -> None:
-    """Its 21 clients waited a second for each message from second 20 to 28, while three stood half empty."""
+def test_one_late_server_is_relieved_though_a_limit_is_in_force(others: int, moves: bool) -> None:
+    """A load limit must not keep the clients of a single overloaded server there."""
     script = limited()
-    for _ in range(3):  # one note can be a pause
+    for _ in range(3):  # a single late report may be a pause
         notes = [DelayUpdate(f"r{n}", f"10.0.0.{n}:80", 900.0) for n in range(3, 4 + others)]
         script.play(*notes, after=1_000.0)
-        told = [ProbeResult(f"10.0.0.{n}:80", Result.OK, 1.0, [0.3]) for n in range(3)]
-        seen = kinds(script.play(*told, ProbeResult("10.0.0.3:80", Result.OK, 1.0, [1.5])))
+        reports = [ProbeResult(f"10.0.0.{n}:80", Result.OK, 1.0, [0.3]) for n in range(3)]
+        seen = kinds(script.play(*reports, ProbeResult("10.0.0.3:80", Result.OK, 1.0, [1.5])))
     assert ("Move" in seen) is moves
 
 
 @pytest.mark.parametrize(("used", "kind"), [(0.4, "Attempt"), (0.8, "Refuse"), (None, "Refuse")])
 def test_a_limit_goes_soon_where_reports_tell_of_a_fleet_half_empty(used: float | None, kind: str) -> None:
-    """Ten clients a second were refused for eight seconds while three of five servers were at 0.2 to 0.4."""
+    """A limit must not go on refusing clients while the fleet's utilization is low."""
     script = limited()
     for _ in range(5):
         if used is not None:
@@ -662,7 +662,7 @@
 
 
 def test_a_server_that_may_be_back_is_tried_though_a_limit_refuses_all_others() -> None:
-    """One that had stopped failing had room for most of the fleet; for eight seconds nobody went there."""
+    """A load limit must not prevent the trial of an unreachable server."""
     script = limited()
     (broken, *_) = script.balancer._fleet.backends["10.0.0.4:80"].requests
     script.end(broken, "10.0.0.4:80", Result.RESET, closed=True)
@@ -689,13 +689,13 @@
     script.play(DelayUpdate("r0", "10.0.0.0:80", 500.0))
     script.play(DelayUpdate("r0", "10.0.0.0:80", 5.0))
     homes = [script.open(f"s{n}") for n in range(60)]
-    assert 0 < homes.count("10.0.0.0:80") <= 6, "three were left there, and eight are its room"
-    script.play(after=30_001.0)  # forgotten: capacity may have come back
+    assert 0 < homes.count("10.0.0.0:80") <= 6, "three remained, and its capacity estimate is eight"
+    script.play(after=30_001.0)  # the capacity estimate has expired
     assert [script.open(f"t{n}") for n in range(12)].count("10.0.0.0:80") >= 4
 
 
 def test_a_group_passes_over_a_server_that_holds_far_more_than_others() -> None:
-    """After a restart ninety of a hundred and sixty clients met at one server, and others stood empty."""
+    """Groups must not concentrate most clients of a balancer at one server."""
     script = Script(settings(grouped=True, balancers=1), 3)
     home = script.open("a", group=7)
     for n in range(30):
@@ -714,17 +714,17 @@
         notes: list[Event] = [DelayUpdate(f"dear{n}", f"10.0.0.{n}:80", 900.0) for n in range(4)]
         actions = script.play(*notes, after=1_000.0)
         moved += [action.id for action in actions if isinstance(action, Move) and second > 0]
-    assert len(moved) >= 8  # a good part has gone already, at the first notes
-    assert len([ident for ident in moved if ident.startswith("dear")]) <= 4  # moved at a single note
+    assert len(moved) >= 8  # others were moved at the first updates
+    assert len([ident for ident in moved if ident.startswith("dear")]) <= 4  # moved at a single update
     assert kinds(script.ask("late")) == ["Refuse"]
     assert len([n for n in range(30) if kinds(script.ask(f"d{n}", cls="dear")) == ["Attempt"]]) >= 1
-    for _ in range(120):  # the strain is over: the limit grows and goes
+    for _ in range(120):  # no server is overloaded: the limit grows until it is removed
         script.play(after=1_000.0)
     assert kinds(script.ask("again")) == ["Attempt"]
 
 
 @pytest.mark.parametrize(("sick", "kind"), [(2, "Attempt"), (3, "Refuse")])
-def test_a_small_fleet_is_full_only_with_three_servers_strained(sick: int, kind: str) -> None:
+def test_a_small_fleet_is_overloaded_only_with_three_degraded_servers(sick: int, kind: str) -> None:
     script = Script(settings(balancers=1), 5)
     for n in range(40):
         script.play(Inherited(Request(f"r{n}", "safe", 0.0), f"10.0.0.{n % 5}:80"))
@@ -813,23 +813,23 @@
         settings(**changes)
 
 
-def test_the_mean_load_is_that_of_the_loads_told() -> None:
-    """The first one stood for a hundred more: at 1,000 every client of 60,000 counted for up to sixty."""
+def test_the_mean_load_is_that_of_the_reported_loads() -> None:
+    """The first reported load must not dominate the mean."""
     script = Script(settings(tells_load=True, balancers=1), 2)
     for n in range(20):
         script.open(f"r{n}", key=n)
     for n in range(20):
         script.play(LoadUpdate(f"r{n}", "10.0.0.0:80", 1_000.0 if n == 0 else 60_000.0))
-    loads = [row.load for server in ("10.0.0.0:80", "10.0.0.1:80") for row in standing(script, server)]
+    loads = [row.load for server in ("10.0.0.0:80", "10.0.0.1:80") for row in established(script, server)]
     assert 0.5 < sum(loads) / len(loads) < 2.0
 
 
-def standing(script: Script, server: str) -> list[EstablishedConnection]:
+def established(script: Script, server: str) -> list[EstablishedConnection]:
     return script.balancer.listed_servers.sample_established(server, 50)
 
 
 def test_a_cold_server_gets_turns_again_soon_after_it_is_taken_to_carry_less() -> None:
-    """Turns were numbered by the figure of the moment: none came due until the new count had caught up."""
+    """A lower warm capacity must not suspend turns until the new numbering has caught up."""
     script = Script(settings(cold_from=0.13, warm_time=23_000.0, fall_window=1_000.0, balancers=3), 2)
     cold = "10.0.0.1:80"
     script.play(ServerList(ListKind.UPDATE, [Server(cold, started=script.now)]))
@@ -848,7 +848,7 @@
 
 
 def test_a_group_that_meets_at_a_small_server_goes_on_to_the_next_one() -> None:
-    """A balancer that had just started put 22 clients of one group on a server of half the mean size."""
+    """The load limit of a group must follow the size of the server."""
     for seed in range(20):
         script = Script(settings(grouped=True, sized=True, balancers=2, me=seed % 2), seed=seed)
         fleet = [replace(server, weight=2.0 if n < 3 else 6.5) for n, server in enumerate(servers(5))]
@@ -856,16 +856,16 @@
         for n in range(40):
             script.play(Inherited(Request(f"o{n}", "safe", 0.0), f"10.0.0.{3 + n % 2}:80"))
         places = [script.open(f"r{n}", group=seed) for n in range(24)]
-        most = max(places.count(server.id) for server in fleet if server.weight == 2.0)
-        assert most <= 18, f"{most} of 24 at one small server, group {seed}"
+        max_count = max(places.count(server.id) for server in fleet if server.weight == 2.0)
+        assert max_count <= 18, f"{max_count} of 24 at one small server, group {seed}"
 
 
 @pytest.mark.parametrize("figure", ["fall_window", "fall_multiple"])
 def test_settings_that_allow_a_cold_server_next_to_nothing_are_lived_by(figure: str) -> None:
-    """The rate of its turns was rounded to nothing, and divided by."""
-    told = Settings(classes=[RequestClass("desk", 2_000.0)], warm_time=23_000.0, cold_from=0.13)
-    setattr(told, figure, 5e-324)
-    balancer = Balancer(told, 1)
+    """A turn rate that rounds to zero must not be divided by."""
+    configured = Settings(classes=[RequestClass("desk", 2_000.0)], warm_time=23_000.0, cold_from=0.13)
+    setattr(configured, figure, 5e-324)
+    balancer = Balancer(configured, 1)
     balancer.handle(1_000.0, [ServerList(ListKind.REPLACE, [Server("s", started=900.0)], 1)])
     for n in range(5):
         actions = balancer.handle(1_000.0 + n, [Request(f"r{n}", "desk", 500.0)])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Many decision modules side by side: what one does that is harmless alone, and harmful when all do it."""
+"""Many decision modules side by side: behaviour that is harmful only when all balancers show it."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     Settings,
     Tenant,
 )
-from puffinford.slow_start import SLACK
+from puffinford.slow_start import MAX_BUDGET_RATIO
 from puffinford.standins.fleet import SIMULATED_WARM_CAPACITY, Fleet, removed, restarted
 
 BALANCERS = 40
@@ -36,15 +36,15 @@
 
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_all_balancers_together_keep_the_budget_of_a_cold_server(seed: int) -> None:
-    """Each had saved a send for it: when most clients came back in one second, all were spent together."""
+    """Saved turns of many balancers must not be used in the same second."""
     fleet = Fleet(9, BALANCERS, seed)
     fleet.arrive(300, 5_000.0, groups=60)
     new = restarted([Server(f"new-{n}") for n in range(3)], fleet.now - 2_000.0)
     fleet.tell(new)
     fleet.arrive(40, 4_000.0, groups=60)
-    fleet.arrive(400, 1_500.0, groups=60)  # most balancers have restarted, and their clients come back
+    fleet.arrive(400, 1_500.0, groups=60)  # clients of restarted balancers reconnect
     warmth = 0.13 + 0.87 * 7.5 / 23.0
-    budget = SLACK * 3.0 * SIMULATED_WARM_CAPACITY / QUOTA_FRACTION * 9 / 12 * warmth / 23.0
+    budget = MAX_BUDGET_RATIO * 3.0 * SIMULATED_WARM_CAPACITY / QUOTA_FRACTION * 9 / 12 * warmth / 23.0
     for server in new:
         assert fleet.peak(server.id) <= budget + 1
         assert fleet.held()[server.id] >= 10, "and yet each is filled"
@@ -52,26 +52,26 @@
 
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_a_small_cold_server_is_spared_where_no_quota_tells_what_servers_carry(seed: int) -> None:
-    """Each was taken to carry 100: one of a third of the size was sent thirteen times what it could do."""
+    """Without quotas, the budget of a cold server must follow its relative size."""
     fleet = Fleet(9, 3, seed, sizes=(6.0, 6.0, 2.0), quotas=False)
     fleet.arrive(100, 20_000.0, groups=60)
     cold = [server for server in fleet.servers if server.weight == 2.0][:1]
     fleet.tell(restarted(cold, fleet.now - 800.0))
-    fleet.arrive(60, 1_500.0, groups=60)  # a balancer has changed versions, and its clients come back
+    fleet.arrive(60, 1_500.0, groups=60)  # clients of a restarted balancer reconnect
     warmth = 0.13 + 0.87 * 2.3 / 23.0
     budget = (
-        SLACK * 3.0 * DEFAULT_WARM_CAPACITY * (2.0 / 4.67) * warmth / 23.0
-    )  # turns of two balancers may be left
+        MAX_BUDGET_RATIO * 3.0 * DEFAULT_WARM_CAPACITY * (2.0 / 4.67) * warmth / 23.0
+    )  # turns of two balancers may be unused
     assert fleet.peak(cold[0].id) <= 2 + budget
     fleet.arrive(60, 8_000.0, groups=60)
     assert fleet.held()[cold[0].id] >= 2, "and yet it is filled"
 
 
-def _ramp_over(balancers: int, seed: int) -> float:
-    """By how much the fullest start window of three cold servers is over its budget and chance, in sends.
+def _max_budget_excess(balancers: int, seed: int) -> float:
+    """The largest excess of attempts over the budget and its allowance in any fall window of cold servers.
 
-    Some balancers get five times the traffic; each hears of the starts at a time of its own within 2 s; three
-    in ten restart in the middle of the ramp, and their clients come back within a second.
+    Some balancers get five times the traffic. Each learns of the starts at a random time within 2 s. Three in
+    ten restart during the warm-up, and their clients reconnect within a second.
     """
     fleet = Fleet(9, balancers, seed)
     rng = fleet.rng
@@ -112,12 +112,12 @@
 def test_the_sends_of_all_processes_to_a_cold_server_keep_to_its_budget_and_chance(
     balancers: int, seeds: int
 ) -> None:
-    """Three times it were allowed: with 4, 20 and 30 balancers 45, 32 and 37 of 50 seeds went past both."""
-    assert max(_ramp_over(balancers, seed) for seed in range(1, seeds + 1)) <= 0.0
+    """The attempts of all balancers in any fall window stay within the budget and its allowance."""
+    assert max(_max_budget_excess(balancers, seed) for seed in range(1, seeds + 1)) <= 0.0
 
 
 def test_groups_of_a_lost_zone_meet_again_and_do_not_pile_up() -> None:
-    """All of them went to the one server that follows in the common order: 93 of 164 connections."""
+    """Groups of lost servers must not all move to the next server in the common order."""
     worst = []
     for seed in range(1, 6):
         fleet = Fleet(9, BALANCERS, seed)
@@ -129,10 +129,10 @@
 
 
 @pytest.mark.parametrize(("groups", "together"), [(1_000_000, False), (30, True)])
-def test_clients_with_groups_of_their_own_are_dealt_by_slices_in_a_thin_view(
+def test_clients_with_groups_of_their_own_are_dealt_by_slices_where_connections_are_sparse(
     groups: int, together: bool
 ) -> None:
-    """Homes drawn by key loaded the fullest of 30 servers with 1.4 times the mean; no client shared one."""
+    """Groups of single clients must be spread evenly by slices, and shared groups stay together."""
     fleet = Fleet(9, BALANCERS, 3)
     fleet.arrive(40 * BALANCERS, 8_000.0, groups)
     homes = set()
@@ -141,22 +141,22 @@
         assert ident is not None
         homes.add(fleet.standing[ident].server)
         fleet.leave(ident)
-    assert (len(homes) <= 2) if together else (len(homes) == 9), "as many homes as slices start at servers"
+    assert (len(homes) <= 2) if together else (len(homes) == 9), "one server for each slice"
 
 
 def test_groups_keep_together_where_the_balancers_find_a_zone_dead_for_themselves() -> None:
-    """Each balancer put a group whose home was dead on two others, and went on by an order of its own."""
+    """Balancers that find a group's servers unreachable must agree on the next one."""
     for seed in range(1, 6):
         fleet = Fleet(9, BALANCERS, seed)
         fleet.arrive(200, 4_000.0, groups=10)
         cut = fleet.fail_servers({server.id for server in fleet.servers[:4]})
         fleet.arrive(cut, 1_000.0, groups=10)
-        assert fleet.pairs() <= 16, "28 before, of ten groups"
+        assert fleet.pairs() <= 16, "ten groups, and few of them at more than one server"
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
 def test_a_late_server_is_relieved_by_a_part_of_all_balancers(seed: int) -> None:
-    """Each moved its one connection at the same note: all went to the next server, and that was late then."""
+    """Balancers with one connection each must not all move it at the same update."""
     fleet = Fleet(9, BALANCERS, seed)
     fleet.arrive(40, 4_000.0, groups=1)
     ((home, held),) = fleet.held().most_common(1)
@@ -167,7 +167,7 @@
 
 
 def test_servers_that_stay_late_are_filled_again_by_a_part_of_all_balancers() -> None:
-    """Room for one connection at each balancer was room for as many as there are balancers."""
+    """A capacity estimate of one connection at each balancer must not admit one from every balancer."""
     fleet = Fleet(9, BALANCERS, 1)
     for _ in range(6):
         fleet.advance(fleet.now + 1_000.0)
@@ -182,7 +182,7 @@
             placed += any(isinstance(action, Attempt) for action in actions)
             refused += any(isinstance(action, Refuse) for action in actions)
     assert placed + refused == 8 * BALANCERS
-    # Six notes leave a room of 0.8 to the sixth, a quarter of a connection: for all balancers ten a server.
+    # Six late reports leave an estimate of 0.8**6, about a quarter of a connection: ten a server over all.
     assert 4 * 9 <= placed <= 16 * 9
 
 
@@ -198,22 +198,22 @@
 
 @pytest.mark.parametrize("balancers", [1, 3])
 def test_a_balancer_of_a_small_fleet_asks_for_its_first_list_at_once(balancers: int) -> None:
-    """It waited out the jitter of two hundred, and turned all away for up to 1.2 s."""
+    """A small fleet must not wait out the jitter of a large one, and refuse clients meanwhile."""
     for seed in range(20):
-        told = Settings(
+        configured = Settings(
             classes=[RequestClass("desk", 2_000.0)],
             balancers=balancers,
             list_on_request=True,
             ask_within=10_000.0,
         )
-        balancer = Balancer(told, seed)
+        balancer = Balancer(configured, seed)
         actions = balancer.handle(1_000.0, [ServerList(ListKind.RESTORED)])
         waits = [action.delay for action in actions if isinstance(action, SetTimer)]
         assert waits and min(waits) <= 25.0 * balancers
 
 
-def _sends_to_sick(seed: int, *, dropping: bool, quotas: bool) -> int:
-    """Sends in the last 5 s of 10 to two of twenty servers that drop each connection 200 ms after UP."""
+def _attempts_at_dropping_servers(seed: int, *, dropping: bool, quotas: bool) -> int:
+    """Attempts in the last 5 of 10 s at two of 20 servers; with `dropping` they drop connections."""
     fleet = Fleet(20, 200, seed, quotas=quotas)
     chosen = [server.id for server in fleet.servers[:2]]
     fleet.arrive(2_000, 5_000.0, groups=40)
@@ -229,16 +229,14 @@
 def test_servers_that_take_connections_and_drop_them_are_tried_ever_more_seldom(
     seed: int, quotas: bool
 ) -> None:
-    """A trial that stood cleared all failures, so each of 200 balancers tried them again every second or so:
-    8 servers reset 8,317 connections on a calm day. A drop now waits the longest; a trial must outlast it.
-    Without quotas in the settings no view counted as thin, and the same went on: 250 resets a second."""
-    sound = _sends_to_sick(seed, dropping=False, quotas=quotas)
-    assert _sends_to_sick(seed, dropping=True, quotas=quotas) < 1.5 * sound
+    """A trial connection that is dropped soon must not reset the backoff, with and without quotas."""
+    sound = _attempts_at_dropping_servers(seed, dropping=False, quotas=quotas)
+    assert _attempts_at_dropping_servers(seed, dropping=True, quotas=quotas) < 1.5 * sound
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_a_third_of_the_servers_late_turns_nobody_away_while_the_rest_have_room(seed: int) -> None:
-    """Each balancer judged the fleet full by its own few servers, and refused all while others had room."""
+def test_a_third_of_the_servers_late_turns_nobody_away_while_the_rest_have_capacity(seed: int) -> None:
+    """Balancers with few connections must not judge the whole fleet by a few overloaded servers."""
     fleet = Fleet(30, 200, seed)
     fleet.arrive(1_500, 5_000.0, groups=40)
     late = fleet.servers[:10]
@@ -248,17 +246,17 @@
             for server in late:
                 fleet.handle(me, DelayUpdate("", server.id, 150.0))
     fleet.arrive(600, 1_500.0, groups=40)
-    assert fleet.refused <= 6, "twenty servers have room"
+    assert fleet.refused <= 6, "twenty servers have capacity"
 
 
-def _calls_of_a_crowd(servers: int, cold: bool) -> int:
-    """Function calls that a balancer makes for 200 clients with groups of their own, a list a second."""
+def _count_function_calls(servers: int, cold: bool) -> int:
+    """Function calls of a balancer for 200 clients with a group each, and a list change a second."""
     fleet = [Server(f"s-{n}", weight=200.0 / servers) for n in range(servers)]
-    told = Settings(
+    configured = Settings(
         classes=[RequestClass("desk", 2_000.0)], tenants=[Tenant("t", 1.0, 0.0, 8_000.0)], balancers=200,
         me=3, grouped=True, sized=True, warm_time=23_000.0, cold_from=0.13, fall_window=1_000.0,
     )  # fmt: skip
-    balancer = Balancer(told, 1)
+    balancer = Balancer(configured, 1)
     now = 1e6
     balancer.handle(now, [ServerList(ListKind.REPLACE, fleet)])
     if cold:
@@ -275,7 +273,7 @@
         for n in range(200):
             now += 50.0
             if n % 20 == 0:
-                # One entry a second: what is known of the others stays, and their order with it.
+                # One changed entry a second, as in a large fleet.
                 balancer.handle(now, [ServerList(ListKind.UPDATE, [replace(fleet[n], started=now)])])
                 balancer.listed_servers.health(now)
             balancer.handle(now, [Request(f"r{n}", "desk", 2_000.0, "t", group=stable_hash(str(n)))])
@@ -286,11 +284,11 @@
 
 @pytest.mark.parametrize(("cold", "times"), [(False, 4), (True, 8)], ids=["False", "True"])
 def test_a_placing_among_sixteen_times_the_servers_costs_little_more(cold: bool, times: int) -> None:
-    """All servers were sorted by a hash at each placing, and each cold one asked for its turn: 5.6 ms.
+    """A placement must not sort all servers, or check the turn of each cold one.
 
-    Each cold server has to be asked for its turn every two seconds, and there are sixteen times as many.
+    The cold case is allowed more, since the turns of all cold servers are checked every two seconds.
     """
-    usual, many = (_calls_of_a_crowd(count, cold) for count in (200, 3_200))
+    usual, many = (_count_function_calls(count, cold) for count in (200, 3_200))
     assert many < times * usual
 
 
@@ -302,12 +300,12 @@
 def test_a_groups_order_is_that_of_its_ranks_through_all_changes(
     lists: list[tuple[set[int], int, int]],
 ) -> None:
-    """Only its first servers are worked out, and lists come and go meanwhile."""
-    told = Settings(classes=[RequestClass("desk", 2_000.0)], balancers=200, grouped=True)
+    """A group order that is computed in part must stay correct through list changes."""
+    configured = Settings(classes=[RequestClass("desk", 2_000.0)], balancers=200, grouped=True)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(fleet, "PREFIX_LEAST", 2)
-        patch.setattr(fleet, "CHANGES_MOST", 40)
-        balancer = Balancer(told, 1)
+        patch.setattr(fleet, "MIN_PREFIX", 2)
+        patch.setattr(fleet, "MAX_CHANGES", 40)
+        balancer = Balancer(configured, 1)
         for members, group, asked in lists:
             servers = [Server(f"s-{n}") for n in sorted(members)]
             balancer.handle(1.0, [ServerList(ListKind.REPLACE, servers)])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,7 @@
-"""The four rules over arbitrary legal sequences of events."""
+"""Invariants over arbitrary legal sequences of events.
+
+One final answer in time, no effect twice, nothing new to draining servers, and the budget of cold servers.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +38,7 @@
     Settings,
     Timer,
 )
-from puffinford.slow_start import SLACK
+from puffinford.slow_start import MAX_BUDGET_RATIO
 
 CLASSES = [
     RequestClass("safe", 900.0, 200.0, message_aim=60.0),
@@ -46,24 +49,24 @@
 ]
 NEVER_RAN = {Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT}
 ENDINGS = [Result.ERROR, Result.FULL, Result.CONNECT_FAILED, Result.RESET, Result.TIMEOUT]
-COLD, WARM_TIME, WINDOW = 0.25, 6_000.0, 1_000.0
+COLD_FROM, WARM_TIME, WINDOW = 0.25, 6_000.0, 1_000.0
 
 
 @dataclass
-class Case:
+class RequestState:
     cls: RequestClass
     deadline: float
     attempts: int = 0
-    server: str = ""  # of the attempt that is out
+    server: str = ""  # of the attempt or connection
     timeout_at: float = 0.0
     sent_at: float = 0.0
-    standing: bool = False
+    established: bool = False
     finals: int = 0
-    risks: list[tuple[float, Server]] = field(default_factory=list)
+    may_have_run: list[tuple[float, Server]] = field(default_factory=list)
 
 
-class World:
-    """A host that plays by the interface and checks each action against the rules."""
+class CheckedHost:
+    """A host that follows the interface, and checks each action against the invariants."""
 
     def __init__(self, seed: int, servers: int, grouped: bool) -> None:
         self.now = 50_000.0
@@ -75,14 +78,14 @@
                 max_retry_after=500.0,
                 may_cancel=True,
                 grouped=grouped,
-                cold_from=COLD,
+                cold_from=COLD_FROM,
                 warm_time=WARM_TIME,
                 fall_window=WINDOW,
             ),
             seed,
         )
         self.entries = {f"s{n}": Server(f"s{n}", zone=f"z{n % 2}", cell=n // 2) for n in range(servers)}
-        self.cases: dict[str, Case] = {}
+        self.cases: dict[str, RequestState] = {}
         self.timers: list[tuple[float, int]] = []
         self.sends: dict[str, list[float]] = {}
         self.count = 0
@@ -103,11 +106,11 @@
             assert case.finals == 0, "one final answer"
             case.finals = 1
             if isinstance(action, Move):
-                assert case.standing
+                assert case.established
                 return
-            assert not case.server, "an answer while an attempt is out"
-            assert self.now <= case.deadline, "the answer is late"
-            if isinstance(action, Refuse) and case.risks and case.cls.effect is not Effect.SAFE:
+            assert not case.server, "an answer during an attempt"
+            assert self.now <= case.deadline, "an answer after the deadline"
+            if isinstance(action, Refuse) and case.may_have_run and case.cls.effect is not Effect.SAFE:
                 assert case.cls.effect is Effect.KEYED and case.cls.scope is Scope.ALL
         elif isinstance(action, Cancel):
             assert self.cases[action.id].attempts > action.attempt
@@ -117,10 +120,10 @@
     def check_attempt(self, action: Attempt) -> None:
         case = self.cases[action.id]
         entry = self.entries[action.server]
-        assert case.finals == 0 and not case.server, "sent after the end, or two attempts out"
+        assert case.finals == 0 and not case.server, "an attempt after the end, or two at once"
         assert case.attempts < 3
-        assert entry.state is ServerState.LIVE, "drains are kept"
-        for at, risk in case.risks:
+        assert entry.state is ServerState.LIVE, "an attempt at a server that is draining or gone"
+        for at, risk in case.may_have_run:
             if case.cls.effect is Effect.SAFE:
                 continue
             assert case.cls.effect is Effect.KEYED and self.now < at + case.cls.window
@@ -135,36 +138,39 @@
             sends = self.sends.setdefault(action.server, [])
             sends.append(self.now)
             recent = [at for at in sends if at > max(self.now - WINDOW, entry.started)]
-            # What fills it over its warm-up, by its warmth, times the told multiple and the slack.
-            warmth = COLD + (1.0 - COLD) * (self.now - entry.started) / WARM_TIME
-            assert len(recent) <= 1.0 + SLACK * 3.0 * DEFAULT_WARM_CAPACITY * warmth * WINDOW / WARM_TIME
+            # The connections that fill it over its warm-up, times its warmth, the multiple and the allowance.
+            warmth = COLD_FROM + (1.0 - COLD_FROM) * (self.now - entry.started) / WARM_TIME
+            assert (
+                len(recent)
+                <= 1.0 + MAX_BUDGET_RATIO * 3.0 * DEFAULT_WARM_CAPACITY * warmth * WINDOW / WARM_TIME
+            )
 
     def end(self, ident: str, result: Result) -> None:
         case = self.cases[ident]
         entry = self.entries[case.server]
         event = Outcome(ident, case.attempts - 1, case.server, result, self.now - case.sent_at)
         if result is Result.CONNECT_FAILED and case.sent_at in self.sends.get(entry.id, ()):
-            self.sends[entry.id].remove(case.sent_at)  # nothing arrived there
+            self.sends[entry.id].remove(case.sent_at)  # the server received nothing
         case.server = ""
-        if case.standing or result is Result.OK or case.finals:
+        if case.established or result is Result.OK or case.finals:
             event.closed = True
             case.finals = 1
         elif result not in NEVER_RAN:
-            case.risks.append((case.sent_at, entry))
+            case.may_have_run.append((case.sent_at, entry))
         self.play([event])
         if not event.closed:
-            assert case.finals or case.server, "neither answered nor sent again"
+            assert case.finals or case.server, "neither an answer nor another attempt"
 
     def advance(self, step: float) -> None:
-        """Move the clock; what falls due comes in its time."""
+        """Advance the clock, with the timers and timeouts that come due."""
         until = self.now + step
         while True:
             due = [(case.timeout_at, ident) for ident, case in self.cases.items()
-                   if case.server and not case.standing and not case.finals]  # fmt: skip
-            coming = min([at for at, _ in due] + [at for at, _ in self.timers], default=float("inf"))
-            if coming > until:
+                   if case.server and not case.established and not case.finals]  # fmt: skip
+            next_event_at = min([at for at, _ in due] + [at for at, _ in self.timers], default=float("inf"))
+            if next_event_at > until:
                 break
-            self.now = max(self.now, coming)
+            self.now = max(self.now, next_event_at)
             tokens = [timer for timer in self.timers if timer[0] <= self.now]
             self.timers = [timer for timer in self.timers if timer[0] > self.now]
             if tokens:
@@ -174,32 +180,32 @@
                     self.end(ident, Result.TIMEOUT)
         self.now = until
         for case in self.cases.values():
-            assert case.finals or case.standing or case.server, "held past its time"
+            assert case.finals or case.established or case.server, "neither answered nor in progress"
 
     def step(self, kind: int, pick: int) -> None:
-        out = [ident for ident, case in self.cases.items() if case.server and not case.finals]
-        waiting = [ident for ident in out if not self.cases[ident].standing]
+        open_requests = [ident for ident, case in self.cases.items() if case.server and not case.finals]
+        waiting = [ident for ident in open_requests if not self.cases[ident].established]
         entries = list(self.entries.values())
         if kind <= 3:
             self.count += 1
             cls = CLASSES[pick % len(CLASSES)]
             left = 100.0 + pick % 800
-            self.cases[f"r{self.count}"] = Case(cls, self.now + left)
+            self.cases[f"r{self.count}"] = RequestState(cls, self.now + left)
             group = pick % 3 if self.grouped else None
             self.play([Request(f"r{self.count}", cls.name, left, group=group)])
         elif kind == 4 and waiting:
             ident = waiting[pick % len(waiting)]
             case = self.cases[ident]
-            case.standing = True
+            case.established = True
             self.play([Established(ident, case.attempts - 1, case.server, 1.0)])
         elif kind <= 6 and waiting:
             self.end(waiting[pick % len(waiting)], ENDINGS[pick % len(ENDINGS)])
-        elif kind == 7 and out:
-            ident = out[pick % len(out)]
+        elif kind == 7 and open_requests:
+            ident = open_requests[pick % len(open_requests)]
             results = [Result.OK, Result.RESET, Result.CANCELLED]
-            self.end(ident, results[pick % 3] if self.cases[ident].standing else Result.OK)
-        elif kind == 8 and out:
-            ident = out[pick % len(out)]
+            self.end(ident, results[pick % 3] if self.cases[ident].established else Result.OK)
+        elif kind == 8 and open_requests:
+            ident = open_requests[pick % len(open_requests)]
             self.cases[ident].finals = 1
             self.play([ClientLeft(ident)])
         elif kind == 9:
@@ -210,8 +216,8 @@
                 self.sends.pop(entry.id, None)
             self.play([ServerList(ListKind.UPDATE, [Server(**{
                 name: getattr(entry, name) for name in Server.__slots__})])])  # fmt: skip
-        elif kind == 10 and out:
-            ident = out[pick % len(out)]
+        elif kind == 10 and open_requests:
+            ident = open_requests[pick % len(open_requests)]
             self.play([DelayUpdate(ident, self.cases[ident].server, float(pick % 400))])
         else:
             self.advance(float(pick % 700))
@@ -225,9 +231,9 @@
     steps=st.lists(st.tuples(st.integers(0, 12), st.integers(0, 9_999)), max_size=120),
 )
 def test_the_four_rules(seed: int, servers: int, grouped: bool, steps: list[tuple[int, int]]) -> None:
-    world = World(seed, servers, grouped)
+    host = CheckedHost(seed, servers, grouped)
     for kind, pick in steps:
-        world.step(kind, pick)
-    world.advance(5_000.0)
-    for case in world.cases.values():
-        assert case.finals == 1 or case.standing
+        host.step(kind, pick)
+    host.advance(5_000.0)
+    for case in host.cases.values():
+        assert case.finals == 1 or case.established
