--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,4 +1,4 @@
-"""What may have run is repeated only as effect, window and deadline allow: the whole table."""
+"""A request that may have run is repeated only as its effect, scope and window allow."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 AFTER = [50.0, 790.0, 810.0]  # ms between the first attempt and its outcome
 
 
-def made(effect: Effect, scope: Scope, window: float = WINDOW, name: str = "pay") -> Settings:
+def make_settings(effect: Effect, scope: Scope, window: float = WINDOW, name: str = "pay") -> Settings:
     cls = RequestClass(name, 2_000.0, effect=effect, scope=scope, window=window)
     return Settings([cls], max_attempts=4, max_retry_after=1_500.0, may_cancel=True)
 
 
-# By cell and zone: a and b share both, c shares a's zone alone, d neither.
+# Zone and cell: a and b share both, c shares only a's zone, d neither.
 PLACES = {"a": ("z1", 1), "b": ("z1", 1), "c": ("z1", 2), "d": ("z2", 3)}
 
 
@@ -43,7 +43,7 @@
 
 
 def allowed(first: str, effect: Effect, scope: Scope, result: Result, after: float) -> set[str]:
-    """Where the request may go next, by the operators' rule."""
+    """Servers that the next attempt may use."""
     others = set(PLACES) - {first}
     if effect is Effect.SAFE or result in NEVER_RAN:
         return others
@@ -61,38 +61,38 @@
 def test_an_outcome_is_followed_only_by_what_the_effect_allows(
     result: Result, after: float, effect: Effect, scope: Scope
 ) -> None:
-    balancer, now = start(made(effect, scope))
+    balancer, now = start(make_settings(effect, scope))
     sent = attempt(balancer.handle(now, [it.Request("r", "pay", 2_000.0)]))
     assert sent is not None
     outcome = it.Outcome("r", 0, sent.server, result, after, False)
     actions = balancer.handle(now + after, [outcome])
-    may = allowed(sent.server, effect, scope, result, after)
+    permitted = allowed(sent.server, effect, scope, result, after)
     following = attempt(actions)
     if following is not None:
-        assert following.server in may
+        assert following.server in permitted
         ran = result not in NEVER_RAN
         until = now + WINDOW if ran and effect is Effect.KEYED else float("inf")
-        assert following.until == until, "a connection that comes up later begins no repeat"
+        assert following.until == until, "a connection that is established later must not start a repeat"
     else:
-        assert not may, "it is tried where it may be"
+        assert not permitted, "a permitted server must be tried"
         harmless = result in NEVER_RAN or effect is Effect.SAFE
         harmless |= effect is Effect.KEYED and scope is Scope.ALL
         assert answered(actions) is (it.Refuse if harmless else it.Fail)
-    assert (following is None) != (answered(actions) is None), "an attempt or an answer, never both"
+    assert (following is None) != (answered(actions) is None), "either an attempt or an answer"
 
 
 @pytest.mark.parametrize(("before", "then"), list(itertools.product(Effect, Effect)))
 def test_a_reload_between_an_attempt_and_its_repeat_binds_as_the_stricter_of_both(
     before: Effect, then: Effect
 ) -> None:
-    """A request went on by the settings of its arrival: what had become unsafe was sent twice."""
-    balancer, now = start(made(before, Scope.ALL))
+    """A request that a reload makes unsafe must not be sent twice."""
+    balancer, now = start(make_settings(before, Scope.ALL))
     sent = attempt(balancer.handle(now, [it.Request("r", "pay", 2_000.0)]))
     assert sent is not None
-    balancer.configure(made(then, Scope.ALL, WINDOW / 2))
+    balancer.configure(make_settings(then, Scope.ALL, WINDOW / 2))
     actions = balancer.handle(now + 500.0, [it.Outcome("r", 0, sent.server, Result.RESET, 500.0, False)])
-    may = then is Effect.SAFE and before is not Effect.UNSAFE
-    assert (attempt(actions) is not None) == may, "at 500 ms the old window is open, the new one is not"
+    permitted = then is Effect.SAFE and before is not Effect.UNSAFE
+    assert (attempt(actions) is not None) == permitted, "at 500 ms only the old window is open"
 
 
 @given(
@@ -105,12 +105,15 @@
     one: Effect,
     other: Effect,
 ) -> None:
-    """Settings, shuffles and memories belong to an instance: nothing of one shows in another."""
-    told = [made(one, Scope.ALL, name="pay"), made(other, Scope.ZONE, 300.0, name="scan")]
+    """Instances must not share state."""
+    configured = [
+        make_settings(one, Scope.ALL, name="pay"),
+        make_settings(other, Scope.ZONE, 300.0, name="scan"),
+    ]
     names = ["pay", "scan"]
 
     def play(instances: list[int]) -> dict[int, list[str]]:
-        balancers = {n: start(told[n])[0] for n in instances}
+        balancers = {n: start(configured[n])[0] for n in instances}
         seen: dict[int, list[str]] = {n: [] for n in instances}
         now = 1_000.0
         for number, (n, result, wait) in enumerate(steps):
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""What one site's servers tell and another's do not: load reports, and two kinds of notes on one line."""
+"""Settings that differ between sites: load reports, load and delay updates, agents, odd values."""
 
 from __future__ import annotations
 
@@ -50,8 +50,10 @@
 
 def test_reports_are_read_in_the_order_of_the_settings() -> None:
     assert parse_report(REPORT, FIELDS) == [0.97, 3.0, 0.5, 0.0]
-    assert parse_report(REPORT + ",disk=full", FIELDS) == [0.97, 3.0, 0.5, 0.0], "fields of no interest"
-    assert parse_report("", FIELDS) is None, "a server that has none yet"
+    assert parse_report(REPORT + ",disk=full", FIELDS) == [0.97, 3.0, 0.5, 0.0], (
+        "fields that are not configured"
+    )
+    assert parse_report("", FIELDS) is None, "no report yet"
 
 
 @pytest.mark.parametrize(
@@ -81,8 +83,8 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
-def test_notes_of_delay_are_told_from_loads_by_their_row(seed: int) -> None:
-    """Taken for a load, a delay of 742 ms said that its connection did nothing, and nobody was moved."""
+def test_delays_are_distinguished_from_loads_by_their_series(seed: int) -> None:
+    """A delay taken for a load would hide an overloaded server."""
     rng = random.Random(seed)
     standing = {f"j{n}" for n in range(40)}
     kinds = NoteClassifier(100.0, standing.__contains__)
@@ -99,30 +101,30 @@
     delays: list[float] = []
     loads: list[float] = []
     for line in sorted(lines + row):
-        at, job, server, value = line
-        kind = kinds.take(job, server, value, at)
+        at, request, server, value = line
+        kind = kinds.take(request, server, value, at)
         loads += [note.value for note in kinds.due(at)]
         if kind is not None:
             (delays if kind else loads).append(value)
     loads += [note.value for note in kinds.due(70_000.0)]
     wanted = {value for *_, value in row[1:]}
-    assert wanted <= set(delays), "all but the first, which a second has to follow"
-    assert len(delays) <= len(wanted) + 3, "of 1,500 loads hardly one is taken for a delay"
-    assert len(delays) + len(loads) >= len(lines) + len(wanted) - 3, "and none is lost but as a row's first"
+    assert wanted <= set(delays), "all but the first, which needs a second value"
+    assert len(delays) <= len(wanted) + 3, "few of 1,500 loads are taken for delays"
+    assert len(delays) + len(loads) >= len(lines) + len(wanted) - 3, "only the first of a series may be lost"
 
 
-def test_a_row_goes_on_on_another_connection_once_its_own_has_ended() -> None:
+def test_a_series_continues_on_another_connection_once_its_own_has_ended() -> None:
     standing = {"a", "b"}
     kinds = NoteClassifier(100.0, standing.__contains__)
     assert [kinds.take("a", "s", 50.0, 1_000.0), kinds.take("a", "s", 60.0, 2_001.0)] == [None, True]
-    assert kinds.take("b", "s", 70.0, 3_001.0) is False, "a server has one row at a balancer"
+    assert kinds.take("b", "s", 70.0, 3_001.0) is False, "a server has one series at a balancer"
     standing.discard("a")
-    assert kinds.take("b", "s", 20.0, 3_002.0) is True, "and its last note is under the aim"
+    assert kinds.take("b", "s", 20.0, 3_002.0) is True, "its last value is under the aim"
 
 
 @pytest.mark.anyio
-async def test_clients_go_where_load_reports_tell_of_room(caplog: pytest.LogCaptureFixture) -> None:
-    """Probes were PING alone: where load is told by report only, the module heard of none on sockets."""
+async def test_clients_go_where_load_reports_show_free_capacity(caplog: pytest.LogCaptureFixture) -> None:
+    """Load reports must reach the decision module through probes on sockets."""
     asked: list[bytes] = []
 
     def server(report: bytes) -> object:
@@ -144,14 +146,14 @@
                 await here.server(ident, server(report))  # type: ignore[arg-type]
             number = 0
             while {b" x0=1.2", b" x0=0.1", b" x0=nan"} - set(asked) or asked.count(b" x0=nan") < 2:
-                number += 1  # each request pays for some probes
+                number += 1  # requests add probe credit
                 await (await here.client(opening(f"0{number}"))).line()
                 here.clock.advance(400.0)
                 await here.settle()
             answers = [await (await here.client(opening(f"1{n}"))).line() for n in range(6)]
     assert b"UP x0=1.2\r\n" not in answers
     rejected = [record for record in caplog.records if record.getMessage() == "report rejected"]
-    assert len(rejected) == 1, "named once, not at each answer"
+    assert len(rejected) == 1, "logged once, not at each answer"
     assert rejected[0].server == "s-3" and "x0: 'nan'" in rejected[0].error  # type: ignore[attr-defined]
 
 
@@ -175,7 +177,7 @@
         assert [await first.line(), await first.line()] == [b"LOAD 61234.5\r\n", b"LOAD 450.1\r\n"]
         here.clock.advance(1_000.0)
         lines.set()
-        assert await first.line() == b"LOAD 460.2\r\n", "the client gets each line as it came"
+        assert await first.line() == b"LOAD 460.2\r\n", "the client gets each line unchanged"
         assert here.exchange.health()[0].delay == 460.2
         assert here.exchange.health()[0].server == Server("s-1").id
 
@@ -185,25 +187,25 @@
 async def test_an_agent_that_was_silent_is_asked_again_within_its_watch(
     pushed: bool, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """What the agent has counts as told at once; after a silence the module paused for up to nine seconds."""
+    """After failures a local agent must be called again without the long pauses of a shared service."""
     calls = 0
     taken: list[ServerEntries | None] = []
-    heard = anyio.Event()
+    received = anyio.Event()
 
     async def agent(stream: anyio.abc.SocketStream) -> None:
         nonlocal calls
         await Peer(stream).line()
         calls += 1
         if calls <= 40:
-            return  # it closes: discovery behind it is down
+            return  # it closes the connection: discovery is unavailable
         if calls > 41:
-            await anyio.sleep_forever()  # there is nothing newer
+            await anyio.sleep_forever()  # no newer version
         body = json.dumps({"version": 9, "full": True, "servers": []}).encode()
         await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
     def take(machines: ServerEntries | None) -> int | None:
         taken.append(machines)
-        heard.set()
+        received.set()
         return machines.version if machines else None
 
     clock = SettableClock()
@@ -215,38 +217,38 @@
             await anyio.wait_all_tasks_blocked()
             watch.subscribe(True)
             for _ in range(41 if pushed else 1):
-                await heard.wait()
-                heard = anyio.Event()
-                await anyio.wait_all_tasks_blocked()  # the watch rests now ...
-                clock.advance(AGENT_RETRY_MS)  # ... and no longer than this, or the next call never comes
+                await received.wait()
+                received = anyio.Event()
+                await anyio.wait_all_tasks_blocked()  # the watch pauses
+                clock.advance(AGENT_RETRY_MS)  # for no longer than this
             await anyio.wait_all_tasks_blocked()
     if pushed:
         assert taken[:40] == [None] * 40 and taken[40] is not None
         failed = [record for record in caplog.records if record.getMessage() == "discovery failed"]
-        assert len(failed) == 1, "40 failed calls in six seconds, and one line of them"
+        assert len(failed) == 1, "40 failed calls are logged once"
     else:
-        assert calls == 1, "the module paces the calls to one service for all"
+        assert calls == 1, "the decision module paces calls to a shared service"
 
 
 @pytest.mark.anyio
 async def test_an_agent_that_hangs_for_30_s_is_held_few_calls_and_heard_at_once_when_it_answers_all() -> None:
-    """It takes each call, says nothing, and then answers every one it ever took, the oldest first.
+    """An agent that accepts calls without answering, and then answers all of them, the oldest first.
 
-    One call at a time, given up after 4 s, left news untold 6 s after the agent could be reached.
+    With one call at a time the list would be outdated for too long after the agent has recovered.
     """
     held: list[anyio.abc.SocketStream] = []
-    most = 0
-    back, called, heard = anyio.Event(), anyio.Event(), anyio.Event()
+    max_held = 0
+    back, called, received = anyio.Event(), anyio.Event(), anyio.Event()
     taken: list[ServerEntries | None] = []
 
     async def agent(stream: anyio.abc.SocketStream) -> None:
-        nonlocal most
+        nonlocal max_held
         await Peer(stream).line()
         if back.is_set():
-            await anyio.sleep_forever()  # there is nothing newer
+            await anyio.sleep_forever()  # no newer version
         held.append(stream)
         called.set()
-        async with anyio.create_task_group() as ways:
+        async with anyio.create_task_group() as tasks:
 
             async def gone() -> None:
                 with contextlib.suppress(anyio.BrokenResourceError, anyio.EndOfStream):
@@ -255,8 +257,8 @@
                 if stream in held:
                     held.remove(stream)
 
-            ways.start_soon(gone)
-            most = max(most, len(held))
+            tasks.start_soon(gone)
+            max_held = max(max_held, len(held))
             await back.wait()
             servers = [{"id": f"s-{n}", "addr": f"127.0.0.1:{7_000 + n}"} for n in range(4)]
             body = json.dumps({"version": 9, "full": True, "servers": servers}).encode()
@@ -265,7 +267,7 @@
 
     def take(machines: ServerEntries | None) -> int | None:
         taken.append(machines)
-        heard.set()
+        received.set()
         return machines.version if machines else None
 
     clock = SettableClock()
@@ -281,11 +283,13 @@
                 clock.advance(500.0)
                 passed += 500.0
                 await here.settle()
-        assert taken == [] and calls <= 14 and most <= MAX_CONCURRENT_CALLS, "nobody waits for one call alone"
-        heard = anyio.Event()
+        assert taken == [] and calls <= 14 and max_held <= MAX_CONCURRENT_CALLS, (
+            "several calls are open, but few"
+        )
+        received = anyio.Event()
         back.set()
-        await heard.wait()
-        assert taken[-1] is not None and len(taken[-1].entries) == 4, "no further time has passed"
+        await received.wait()
+        assert taken[-1] is not None and len(taken[-1].entries) == 4, "without further delay"
         here.tasks.cancel_scope.cancel()
 
 
@@ -294,31 +298,31 @@
 def test_a_pushed_feed_that_repeats_skips_or_goes_back_brings_back_only_what_it_says_twice(
     pushes: list[tuple[int, bool]], rng: random.Random
 ) -> None:
-    """Version n says that servers 0 to n-1 of ten are draining, as changes or as a whole list."""
+    """Version n lists servers 0 to n-1 of ten as draining, as changes or as a full snapshot."""
 
-    def told(version: int, full: bool) -> ServerEntries:
+    def listing(version: int, full: bool) -> ServerEntries:
         states = [ServerState.DRAINING if n < version else ServerState.LIVE for n in range(10)]
         shown = range(10) if full else range(version)
         return ServerEntries(
             version, full, [ServerEntry(Server(f"s{n}", state=states[n]), "::1", 1) for n in shown]
         )
 
-    guard, balancer = ListGuard(), Balancer(told_here(), 1)
-    draining, doubted = 0, False
+    guard, balancer = ListGuard(), Balancer(decoded_facts(), 1)
+    draining, suspect = 0, False
     for step, (version, full) in enumerate([(0, True), *pushes]):
-        taken = guard.judge(told(version, full)).entries
+        taken = guard.judge(listing(version, full)).entries
         if taken is not None:
             kind = ListKind.REPLACE if taken.full else ListKind.UPDATE
             balancer.handle(float(step), [ServerList(kind, [m.server for m in taken.entries])])
-        doubted = version < draining and not (full and doubted)
-        draining = draining if doubted else version
+        suspect = version < draining and not (full and suspect)
+        draining = draining if suspect else version
         for n in range(5):
             request = Request(f"{step}.{n}", "desk", 1_000.0, key=rng.randrange(2**32))
             for action in balancer.handle(float(step), [request]):
                 assert not isinstance(action, Attempt) or int(action.server[1:]) >= draining
 
 
-def told_here() -> Any:
+def decoded_facts() -> Any:
     return decode_settings(copy.deepcopy(FACTS))
 
 
@@ -353,7 +357,7 @@
 @settings(max_examples=1_500, derandomize=True, deadline=None)
 @given(st.lists(st.tuples(st.sampled_from(PLACES), st.sampled_from(ODD)), min_size=1, max_size=4))
 def test_odd_settings_are_named_or_served_by(changes: list[tuple[tuple[str, str], Any]]) -> None:
-    """NaN passed every check, and a fall window of 1e308 ms was an exception at the first cold server."""
+    """Odd values, such as NaN, must be rejected by name or handled without an exception."""
     facts = copy.deepcopy(FACTS)
     for (section, name), value in changes:
         if name and isinstance(facts.get(section), dict):
@@ -361,12 +365,12 @@
         else:
             facts[section] = value
     try:
-        told_settings = decode_settings(facts)
+        decoded = decode_settings(facts)
     except (WireError, ValueError) as exc:
         assert any(name in str(exc) for name in ("hello.facts", "settings: "))
         return
     assert absent_settings(facts) is not None
-    balancer = Balancer(told_settings, 1)
+    balancer = Balancer(decoded, 1)
     now = 1_000_000.0
     entries = [Server(f"s{n}", weight=1.0 + n, started=now * (n % 2)) for n in range(4)]
     balancer.handle(now, [ServerList(ListKind.REPLACE, entries)])
@@ -374,7 +378,7 @@
         balancer.handle(now + n * 700.0, [Request(f"r{n}", "desk", 3_000.0, group=n % 2)])
 
 
-def test_a_setting_that_is_not_told_is_named_with_what_stands_for_it() -> None:
+def test_an_absent_setting_is_named_with_its_default() -> None:
     assert absent_settings(FACTS) == {}
     facts = {**FACTS, "rules": {**FACTS["rules"], "ramp_time": None}}
     assert absent_settings(facts) == {"rules.ramp_time": "servers are warm at once"}
@@ -383,9 +387,9 @@
 EVENTS = st.lists(
     st.tuples(
         st.sampled_from(["ask", "up", "fail", "end", "leave", "wait"]),
-        st.integers(0, 2),  # class, or which of those that are out
+        st.integers(0, 2),  # class, or index of a request in progress
         st.integers(0, 2),  # tenant
-        st.sampled_from([0.0, 5.0, 400.0, 2_500.0]),  # ms until then
+        st.sampled_from([0.0, 5.0, 400.0, 2_500.0]),  # ms before it
     ),
     min_size=10,
     max_size=60,
@@ -393,7 +397,7 @@
 
 
 def decisions(names: list[str], tenants: list[str], events: list[tuple[str, int, int, float]]) -> list[str]:
-    """What a balancer decides on these events, under these names of classes and tenants."""
+    """The actions of a balancer on these events, under these names of classes and tenants."""
     effects = [Effect.SAFE, Effect.KEYED, Effect.UNSAFE]
     classes = [
         RequestClass(name, 800.0, effect=effect, window=900.0)
@@ -402,12 +406,12 @@
     granted = [Tenant(name, 1.0 / 3.0, quota=40.0) for name in tenants]
     balancer = Balancer(Settings(classes=classes, tenants=granted, max_attempts=3), 7)
     servers = [Server(f"s-{n}") for n in range(5)]
-    now, told = 1_000.0, []
+    now, decided = 1_000.0, []
     out: dict[str, tuple[str, int]] = {}
 
     def feed(event: Event) -> None:
         for action in balancer.handle(now, [event]):
-            told.append(f"{now} {action}")
+            decided.append(f"{now} {action}")
             if isinstance(action, Attempt):
                 out[action.id] = (action.server, out.get(action.id, ("", -1))[1] + 1)
 
@@ -432,11 +436,11 @@
                     if what == "leave"
                     else Outcome(ident, attempt, server, Result.OK, 9.0, True)
                 )
-    return told
+    return decided
 
 
 @given(EVENTS)
-def test_no_request_is_told_apart_by_the_name_of_its_class_or_tenant(
+def test_no_decision_depends_on_the_name_of_a_class_or_tenant(
     events: list[tuple[str, int, int, float]],
 ) -> None:
     one = decisions(["price", "payment", "chat"], ["acme", "zeta", "a"], events)
