--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -110,7 +110,7 @@
 
 
 def test_the_prefix_grows_with_own_connections() -> None:
-    """A balancer that receives max_count clients must not overload a short prefix of the servers."""
+    """A balancer that receives most clients must not overload a short prefix of the servers."""
     script = Script(settings(balancers=150, tenants=[Tenant("all", 1.0, quota=1_200.0)]), 30)
     homes = [script.open(f"r{n}") for n in range(180)]
     assert len(set(homes[:30])) <= 3, "few while it holds few"
