--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -42,7 +42,7 @@
 from puffinford.server_list.discovery import AGENT_RETRY_MS, MAX_CONCURRENT_CALLS, DiscoveryWatch
 from puffinford.state.recovery import ListGuard
 from tests.harness import Peer, harness, opening
-from tests.harness import settings as told
+from tests.harness import settings as harness_settings
 
 FIELDS = ["x0", "throughput", "errors_per_s", "backlog"]
 REPORT = "throughput=3,x0=0.97,backlog=0,errors_per_s=0.5"
@@ -141,7 +141,7 @@
 
     more = {"may_probe": True, "report_on_probe": True, "report_fields": ["x0"]}
     with caplog.at_level(logging.WARNING):
-        async with harness(told(**more)) as here:
+        async with harness(harness_settings(**more)) as here:
             for ident, report in (("s-1", b" x0=1.2"), ("s-2", b" x0=0.1"), ("s-3", b" x0=nan")):
                 await here.server(ident, server(report))  # type: ignore[arg-type]
             number = 0
@@ -170,7 +170,7 @@
         await peer.send_line(b"LOAD 460.2")
         await peer.line()
 
-    async with harness(told(tells_load=True, tells_delay=True)) as here:
+    async with harness(harness_settings(tells_load=True, tells_delay=True)) as here:
         await here.server("s-1", late)
         first = await here.client(opening("01"))
         assert await first.line() == b"UP late\r\n"
