--- a/puffinford/fronts/accepting.py
+++ b/puffinford/fronts/accepting.py
@@ -1,7 +1,7 @@
-"""Listeners, who is let in, and who gives way: the bounds on connections that have not asked for anything.
+"""Listening sockets, accepting, and eviction of idle connections when descriptors run short.
 
-Each bound stands here once. Silent ones: `ConnectionTracker`. Descriptors:
-`puffinford.fronts.sockets.DescriptorBudget`.
+`ConnectionTracker` limits connections without a request; `puffinford.fronts.sockets.DescriptorBudget` counts
+descriptors.
 """
 
 from __future__ import annotations
@@ -18,24 +18,27 @@
 
 from puffinford.core.clock import Clock
 from puffinford.core.transient_errors import LOCAL_SHORTAGE_ERRNOS
-from puffinford.fronts.sockets import LAST_MOST, DescriptorBudget, TcpStream, socket_address
+from puffinford.fronts.sockets import FINAL_WRITE_TIMEOUT_MS, DescriptorBudget, TcpStream, socket_address
 from puffinford.logs import RateLimitedLog
 
-log = logging.getLogger("puffinford.fronts.sockets")  # operators find these lines by `from`
+log = logging.getLogger("puffinford.fronts.sockets")  # the name that operators filter logs by
 limited_log = RateLimitedLog(log)
 
-ACCEPT_RETRY = 50.0  # after a failed accept, as when descriptors have run out
-MAX_ACCEPTS_PER_TURN = 16  # connections accepted before others have their turn
-BACKLOG = 1024
-WAITING_PART = 4  # connections without a request may hold this part of the descriptors: one of four
-TURNED_AWAY = 8  # newcomers without a place that are heard and answered at once, out of the reserve ...
-TURNED_FOR = 300.0  # ... and how long their line may take
-SHORT_OF = 4  # descriptors that a client and its server need at once, with room for a call beside them
-GONE_MOST = 8  # such failures in one turn of accepting, after which it pauses
-LACK_LASTS = 4  # accepts in a row that failed so, after which quiet connections give way
-LAST_ACCEPTS = 10  # tries to take what waits at an address that is given up
-# accept(2): network errors of a connection that is already gone; the next may be sound.
-PEER_GONE = frozenset(
+ACCEPT_RETRY_PAUSE_MS = 50.0
+MAX_ACCEPTS_PER_TURN = 16  # connections accepted before other tasks run
+LISTEN_BACKLOG = 1024
+IDLE_SHARE_DIVISOR = 4  # connections without a request may hold 1/4 of the descriptors
+# Connections over the limit that are read and answered at a time; they use reserved descriptors.
+MAX_CONCURRENT_REJECTIONS = 8
+REJECTION_READ_TIMEOUT_MS = 300.0  # to read the request of a connection over the limit
+# Idle connections evicted when the system is out of descriptors: enough for a client, its server and a
+# management call.
+EVICTIONS_ON_SHORTAGE = 4
+MAX_DEAD_CONNECTIONS_PER_TURN = 8  # already closed when accepted; then accepting pauses
+SHORTAGES_BEFORE_EVICTION = 4  # consecutive failures of accept(2) after which idle connections are evicted
+MAX_FINAL_ACCEPT_ATTEMPTS = 10  # to empty the accept queue of a listener that is closed
+# Network errors that accept(2) reports for a connection that is already closed; the next accept may succeed.
+DEAD_CONNECTION_ERRNOS = frozenset(
     (
         errno.ECONNABORTED, errno.ECONNRESET, errno.EHOSTDOWN, errno.EHOSTUNREACH, errno.ENETDOWN,
         errno.ENETUNREACH, errno.ENONET, errno.ENOPROTOOPT, errno.EOPNOTSUPP, errno.EPROTO, errno.ETIMEDOUT,
@@ -46,58 +49,59 @@
 
 
 class ConnectionTracker:
-    """The connections that have not asked for anything yet, the one that has been quiet longest first.
+    """Tracks open connections, and evicts those without a request, the longest idle first.
 
-    Guards against peers that connect by the thousands and say nothing, or stop half way: together these
-    hold no more than their part of the descriptors, and the quietest goes first, for a client that wants
-    something says so at once, or writes on.
+    Prevents peers that connect and send nothing, or part of a request, from holding more than
+    1/`idle_divisor` of the descriptors.
     """
 
-    def __init__(self, clock: Clock, budget: DescriptorBudget, idle_divisor: int = WAITING_PART) -> None:
+    def __init__(
+        self, clock: Clock, budget: DescriptorBudget, idle_divisor: int = IDLE_SHARE_DIVISOR
+    ) -> None:
         self.clock = clock
         self.budget = budget
-        self._part = idle_divisor
-        self._waiting: dict[object, anyio.CancelScope] = {}
+        self._idle_divisor = idle_divisor
+        self._evictable: dict[object, anyio.CancelScope] = {}  # the longest idle first
         self._sessions: set[anyio.CancelScope] = set()
-        self._served: set[TcpStream] = set()
-        self.dismissed = False  # the process ends: nobody is waited for any more
+        self._open_streams: set[TcpStream] = set()
+        self.shutting_down = False
 
     @contextmanager
-    def evictable_wait(self, ms: float) -> Iterator[Callable[[], None]]:
-        """What is within is cancelled after so long, or when its place is needed.
+    def evictable_wait(self, timeout_ms: float) -> Iterator[Callable[[], None]]:
+        """Cancel the block after `timeout_ms`, or earlier to free its descriptor.
 
-        It calls what it is given at each sign of life from its peer.
+        Yields a callback that marks the connection as active, to be called at each read.
         """
         token = object()
-        with self.clock.limit(ms) as scope:
-            self._waiting[token] = scope
+        with self.clock.limit(timeout_ms) as scope:
+            self._evictable[token] = scope
             try:
-                yield lambda: self._waiting.update({token: self._waiting.pop(token)})
+                yield lambda: self._evictable.update({token: self._evictable.pop(token)})
             finally:
-                del self._waiting[token]
+                del self._evictable[token]
 
     @contextmanager
-    def serving(self, stream: TcpStream) -> Iterator[None]:
-        """A connection that was let in, until it has ended."""
-        self._served.add(stream)
+    def track(self, stream: TcpStream) -> Iterator[None]:
+        """Count `stream` as open within the block."""
+        self._open_streams.add(stream)
         try:
             yield
         finally:
-            self._served.discard(stream)
+            self._open_streams.discard(stream)
 
     @property
     def is_empty(self) -> bool:
-        """Whether every connection that was let in has ended."""
-        return not self._served
+        """Whether no connection is open."""
+        return not self._open_streams
 
     @property
     def all_answered(self) -> bool:
-        """Whether all that are still open have been told all that they will be."""
-        return all(stream.ending for stream in self._served)
+        """Whether every open connection has been sent its last message."""
+        return all(stream.is_closing for stream in self._open_streams)
 
     @contextmanager
-    def session(self, scope: anyio.CancelScope) -> Iterator[None]:
-        """A connection that carries many requests, and ends in order where `scope` is cancelled."""
+    def track_session(self, scope: anyio.CancelScope) -> Iterator[None]:
+        """Register a connection that carries many requests; cancelling `scope` closes it in order."""
         self._sessions.add(scope)
         try:
             yield
@@ -105,55 +109,59 @@
             self._sessions.discard(scope)
 
     def end_sessions(self) -> None:
-        """End the sessions that are open, whatever their peers owe yet."""
+        """Close the open sessions without waiting for their peers."""
         for scope in list(self._sessions):
             scope.cancel()
 
     def evict_all(self) -> None:
-        """Send everybody away who has not asked: each is answered, and its connection ended."""
-        self.dismissed = True
-        for scope in list(self._waiting.values()):
+        """Evict every connection without a request, and mark the process as shutting down."""
+        self.shutting_down = True
+        for scope in list(self._evictable.values()):
             scope.cancel()
 
-    def ensure_capacity(self, short: bool = False) -> bool:
-        """Send the quietest away where there is no room for one more; tells whether there is room now.
+    def ensure_capacity(self, out_of_descriptors: bool = False) -> bool:
+        """Evict the longest idle connections if one more would not fit; return whether one more fits now.
 
-        `short`: the system has refused a descriptor, whatever the budget says of them.
+        `out_of_descriptors`: the system has refused a descriptor, so connections are evicted even within the
+        budget.
         """
-        scopes = [scope for scope in self._waiting.values() if not scope.cancel_called]
-        idle_divisor = (
-            self._part * 2 if self.budget.used_elsewhere() else self._part
-        )  # two versions share the part too
-        crowd = len(scopes) + self.budget.lingering - max(1, self.budget.limit // idle_divisor) + 1
-        going = max(0, crowd, int(self.budget.full), SHORT_OF if short else 0)
-        going -= self.budget.spare(going)
-        for scope in scopes[:going]:
+        scopes = [scope for scope in self._evictable.values() if not scope.cancel_called]
+        # Two versions of the process share the descriptors for idle connections.
+        idle_divisor = self._idle_divisor * 2 if self.budget.used_elsewhere() else self._idle_divisor
+        excess = len(scopes) + self.budget.lingering_count - max(1, self.budget.limit // idle_divisor) + 1
+        evictions = max(
+            0, excess, int(self.budget.is_full), EVICTIONS_ON_SHORTAGE if out_of_descriptors else 0
+        )
+        evictions -= self.budget.cut_lingering(evictions)
+        for scope in scopes[:evictions]:
             scope.cancel()
-        # Those sent away are gone in a moment: until then the reserve holds their successors.
-        return not self.budget.full or going <= len(scopes)
+        # Evicted connections close shortly; until then the new ones use reserved descriptors.
+        return not self.budget.is_full or evictions <= len(scopes)
 
 
 def local_address(listener: socket.socket) -> str:
+    """Return the address of a listener as HOST:PORT."""
     return "{}:{}".format(*listener.getsockname()[:2])
 
 
 def bind(address: tuple[str, int], *, share_port: bool = False) -> socket.socket:
-    """A listener; `share_port` another version's at the same address."""
+    """Return a non-blocking listener; `share_port` sets SO_REUSEPORT, for another version at this address."""
     family, target = socket_address(*address)
-    listener = socket.create_server(target, family=family, backlog=BACKLOG, reuse_port=share_port)
+    listener = socket.create_server(target, family=family, backlog=LISTEN_BACKLOG, reuse_port=share_port)
     listener.setblocking(False)
     return listener
 
 
 def inherited_listener(descriptor: int) -> socket.socket:
-    """A listener on the platform's listening socket; raises OSError where the descriptor is none.
+    """Return a listener on the platform's listening socket.
 
-    The socket is the same in all processes: it is closed here, and never shut down, which would end it there.
+    Raises OSError where `descriptor` is not a listening socket. The socket is shared with other processes, so
+    it may be closed here but not shut down.
     """
     listener = socket.socket(fileno=os.dup(descriptor))
     try:
         if not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-            raise OSError(errno.EINVAL, f"descriptor {descriptor} does not listen")
+            raise OSError(errno.EINVAL, f"descriptor {descriptor} is not a listening socket")
         listener.setblocking(False)
     except OSError:
         listener.close()
@@ -167,21 +175,21 @@
     tracker: ConnectionTracker,
     tasks: anyio.abc.TaskGroup,
     scope: anyio.CancelScope,
-    turn: int = MAX_ACCEPTS_PER_TURN,
+    accepts_per_turn: int = MAX_ACCEPTS_PER_TURN,
     shared: bool = False,
     turn_away: Handler | None = None,
 ) -> None:
-    """Accept until `scope` is cancelled, then listen no more; what was accepted goes on in `tasks`.
+    """Accept until `scope` is cancelled, then close `listener`; handlers run in `tasks`.
 
-    Each connection has a task of its own, whose faults stay its own. What waits to be accepted at the end
-    is taken too, unless the socket is `shared` with a process that goes on accepting. A few newcomers that
-    find no place are answered by `turn_away`, the others closed.
+    An exception of a handler closes only its own connection. The accept queue is emptied at the end, unless
+    the socket is `shared` with a process that goes on accepting. Over the connection limit, `turn_away`
+    answers a few connections and the others are closed.
     """
-    turned = 0
-    lacks = 0  # accepts in a row that failed for what this machine lacks
+    rejections = 0
+    shortages = 0  # consecutive failures of accept(2)
 
-    async def guarded(stream: TcpStream, handle: Handler = handle) -> None:
-        with tracker.serving(stream):
+    async def run_handler(stream: TcpStream, handle: Handler = handle) -> None:
+        with tracker.track(stream):
             try:
                 await handle(stream)
             except Exception:
@@ -189,69 +197,71 @@
             finally:
                 stream.close()
 
-    async def all_answered(stream: TcpStream) -> None:
-        nonlocal turned
+    async def reject(stream: TcpStream) -> None:
+        nonlocal rejections
         assert turn_away is not None
         try:
-            with tracker.clock.limit(TURNED_FOR + LAST_MOST):
-                await guarded(stream, turn_away)
+            with tracker.clock.limit(REJECTION_READ_TIMEOUT_MS + FINAL_WRITE_TIMEOUT_MS):
+                await run_handler(stream, turn_away)
         finally:
-            turned -= 1
+            rejections -= 1
             stream.close()
 
-    def take(most: int) -> None:
-        nonlocal turned
-        gone = 0
-        for _ in range(most):
+    def accept_up_to(max_accepts: int) -> None:
+        nonlocal rejections
+        dead_connections = 0
+        for _ in range(max_accepts):
             try:
                 sock, _peer = listener.accept()
             except BlockingIOError:
                 break
             except OSError as exc:
-                gone += 1
-                # Guards the core against a listener that fails so each time: that is no peer's doing.
-                if exc.errno not in PEER_GONE or gone >= GONE_MOST:
+                dead_connections += 1
+                # Prevents a busy loop over a listener whose every accept fails.
+                if (
+                    exc.errno not in DEAD_CONNECTION_ERRNOS
+                    or dead_connections >= MAX_DEAD_CONNECTIONS_PER_TURN
+                ):
                     raise
                 continue
             stream = TcpStream(sock, tracker.clock, tracker.budget)
             if tracker.ensure_capacity():
-                tasks.start_soon(guarded, stream)
+                tasks.start_soon(run_handler, stream)
             else:
                 limited_log.warning(
                     "connection limit reached", open=tracker.budget.used, limit=tracker.budget.limit
                 )
-                if turn_away is not None and turned < TURNED_AWAY:
-                    turned += 1
-                    tasks.start_soon(all_answered, stream)
+                if turn_away is not None and rejections < MAX_CONCURRENT_REJECTIONS:
+                    rejections += 1
+                    tasks.start_soon(reject, stream)
                 else:
                     stream.close()
 
-    async def take_or_wait(most: int) -> bool:
-        """Whether so many, or all that wait, were taken."""
-        nonlocal lacks
+    async def accept_or_pause(max_accepts: int) -> bool:
+        """Accept up to `max_accepts` connections; after a failure, pause and return False."""
+        nonlocal shortages
         try:
-            take(most)
+            accept_up_to(max_accepts)
         except OSError as exc:
-            # Guards against running out of descriptors: a later accept may do. What another process or the
-            # kernel lacks for a moment sends nobody away.
+            # A later accept may succeed. A brief shortage of the kernel or of another process evicts nobody.
             log.warning("accept failed", extra={"error": str(exc)})
-            lacks += 1
-            lasts = exc.errno in LOCAL_SHORTAGE_ERRNOS and lacks >= LACK_LASTS
-            tracker.ensure_capacity(short=exc.errno == errno.EMFILE or lasts)
-            await tracker.clock.sleep(ACCEPT_RETRY)
+            shortages += 1
+            is_persistent = exc.errno in LOCAL_SHORTAGE_ERRNOS and shortages >= SHORTAGES_BEFORE_EVICTION
+            tracker.ensure_capacity(out_of_descriptors=exc.errno == errno.EMFILE or is_persistent)
+            await tracker.clock.sleep(ACCEPT_RETRY_PAUSE_MS)
             return False
-        lacks = 0
+        shortages = 0
         return True
 
     try:
         with scope:
             while True:
                 await anyio.wait_readable(listener)
-                await take_or_wait(turn)
+                await accept_or_pause(accepts_per_turn)
         if not shared:
-            # Guards the clients that came in the last moment: a close would reset them.
-            for _ in range(LAST_ACCEPTS):
-                if await take_or_wait(BACKLOG):
+            # Closing the listener would reset the connections in its accept queue.
+            for _ in range(MAX_FINAL_ACCEPT_ATTEMPTS):
+                if await accept_or_pause(LISTEN_BACKLOG):
                     break
     finally:
         anyio.notify_closing(listener)
--- a/puffinford/fronts/channels/__init__.py
+++ b/puffinford/fronts/channels/__init__.py
@@ -1,1 +1,1 @@
-"""SSH-style multiplexed channels without the cryptography (docs/channels.md)."""
+"""Front for SSH connection-protocol channels without cryptography (docs/channels.md)."""
--- a/puffinford/fronts/channels/client.py
+++ b/puffinford/fronts/channels/client.py
@@ -1,4 +1,4 @@
-"""The client side of the channel front: each channel that a client opens is one request."""
+"""Client side of the channel front: each channel that a client opens is one request."""
 
 from __future__ import annotations
 
@@ -15,17 +15,18 @@
 from puffinford.fronts.channels.opening import decode_opening
 from puffinford.fronts.sockets import TcpStream
 
-# The name of before: operators find these lines by `from`.
 log = logging.getLogger("puffinford.fronts.channels.client")
 
 
 class ChannelClientHandler:
+    """Accepts the channels of each connection and serves their requests."""
+
     def __init__(self, exchange: Exchange, tracker: ConnectionTracker) -> None:
         self._exchange = exchange
         self._tracker = tracker
 
     async def handle(self, stream: TcpStream) -> None:
-        """Serve one connection and all its channels to their ends."""
+        """Serve one connection until it and all its channels are closed."""
         async with anyio.create_task_group() as requests:
 
             def on_open(channel: Channel, message: codec.ChannelOpen) -> None:
@@ -40,12 +41,12 @@
                     try:
                         await self._exchange.serve(opening, connection)
                     except Exception:
-                        # Guards the connection's other channels against one request's fault.
+                        # A failed request must not close the connection's other channels.
                         log.exception("request failed", extra={"request": opening.request_id})
 
                 requests.start_soon(serve)
 
             multiplexer = Multiplexer(
-                stream, stream.clock, client=False, on_open=on_open, tracker=self._tracker
+                stream, stream.clock, is_client=False, on_open=on_open, tracker=self._tracker
             )
             await multiplexer.run()
--- a/puffinford/fronts/channels/codec.py
+++ b/puffinford/fronts/channels/codec.py
@@ -1,6 +1,6 @@
 """Packets of RFC 4253 without cipher, MAC or compression, and the messages of RFC 4254 as typed values.
 
-Each message is decoded once and encoded once. What else SSH has is left out; docs/channels.md says what.
+docs/channels.md lists the parts of SSH that are not implemented.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 from dataclasses import dataclass, fields
 
 VERSION = "SSH-2.0-puffinford_0.1"
-VERSION_MOST = 255  # bytes of the version line, its end included
-BANNER_MOST = 20  # lines that a server may send before it
-PACKET_MOST = 35_000  # RFC 4253, section 6.1
-PAYLOAD_MOST = 32_768
-BLOCK = 8
-PAYLOAD_AT = 5  # bytes before the payload of a packet: its length and that of its padding
+MAX_VERSION_BYTES = 255  # of the version line with its end
+MAX_BANNER_LINES = 20  # that a server may send before its version line
+MAX_PACKET_BYTES = 35_000  # RFC 4253, section 6.1
+MAX_PAYLOAD_BYTES = 32_768
+BLOCK_BYTES = 8
+PAYLOAD_OFFSET = 5  # bytes of the packet length and padding length fields
 
 DOMAIN = "puffinford.example"
-REQUEST_CHANNEL = f"job@{DOMAIN}"  # the channel type: one channel is one request
+REQUEST_CHANNEL = f"job@{DOMAIN}"  # channel type: one channel is one request
 MOVE = f"move@{DOMAIN}"
 BYE = f"bye@{DOMAIN}"
 NOTE = f"note@{DOMAIN}"
@@ -40,8 +40,8 @@
 TIMED_OUT = 0xFE000002
 
 
-class Malformed(Exception):
-    """Bytes that are no packet or message; `reason` goes into DISCONNECT."""
+class MalformedMessage(Exception):
+    """Bytes that violate the protocol; `reason` is the reason code of the DISCONNECT to send."""
 
     def __init__(self, text: str, reason: int = PROTOCOL_ERROR) -> None:
         super().__init__(text)
@@ -49,17 +49,17 @@
 
 
 class PayloadReader:
-    """Takes the basic types of RFC 4251, section 5, off a payload."""
+    """Reads the data types of RFC 4251, section 5, from a payload; raises MalformedMessage."""
 
     def __init__(self, data: bytes) -> None:
         self._data = data
-        self._at = 0
+        self._position = 0
 
     def take(self, count: int) -> bytes:
-        piece = self._data[self._at : self._at + count]
+        piece = self._data[self._position : self._position + count]
         if len(piece) != count:
-            raise Malformed("message too short")
-        self._at += count
+            raise MalformedMessage("message too short")
+        self._position += count
         return piece
 
     def byte(self) -> int:
@@ -75,11 +75,11 @@
         return self.take(self.uint32())
 
     def text(self) -> str:
-        # Latin-1 keeps every byte, so that values go on as they came.
+        # Latin-1 preserves every byte, so that values are passed on unchanged.
         return self.string().decode("latin-1")
 
     def rest(self) -> bytes:
-        return self.take(len(self._data) - self._at)
+        return self.take(len(self._data) - self._position)
 
 
 def uint32(value: int) -> bytes:
@@ -95,8 +95,8 @@
     return bytes((value,))
 
 
-# A message is a frozen dataclass. Its fields, in their order, are its layout: uint32 for int, string for
-# str and bytes, boolean for bool; a field named `extra` holds all the rest, as the message's kind has it.
+# Each message is a frozen dataclass whose fields, in order, are its layout: uint32 for int, string for str
+# and bytes, boolean for bool. A field named `extra` holds the remaining bytes.
 
 
 @dataclass(frozen=True, slots=True)
@@ -213,7 +213,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """A message of no known number: to be answered UNIMPLEMENTED."""
+    """A message with an unknown number, to be answered with UNIMPLEMENTED."""
 
     number: int
 
@@ -240,7 +240,7 @@
     | Unknown
 )
 
-_NUMBERS: dict[int, type] = {
+_MESSAGE_CLASSES: dict[int, type] = {
     1: Disconnect,
     2: Ignore,
     3: Unimplemented,
@@ -260,57 +260,59 @@
     99: ChannelSuccess,
     100: ChannelFailure,
 }
-_READ: dict[str, Callable[[PayloadReader], object]] = {
+_READERS: dict[str, Callable[[PayloadReader], object]] = {
     "int": PayloadReader.uint32,
     "str": PayloadReader.text,
     "bytes": PayloadReader.string,
     "bool": PayloadReader.boolean,
 }
-_WRITE: dict[str, Callable[..., bytes]] = {"int": uint32, "str": string, "bytes": string, "bool": boolean}
+_WRITERS: dict[str, Callable[..., bytes]] = {"int": uint32, "str": string, "bytes": string, "bool": boolean}
 _LAYOUTS = {
     cls: [(f.name, "rest" if f.name == "extra" else str(f.type)) for f in fields(cls)]
-    for cls in _NUMBERS.values()
+    for cls in _MESSAGE_CLASSES.values()
 }
-_NUMBER_OF = {cls: number for number, cls in _NUMBERS.items()}
+_MESSAGE_NUMBERS = {cls: number for number, cls in _MESSAGE_CLASSES.items()}
 
 
 def decode(payload: bytes) -> Message:
+    """Decode a payload; raises MalformedMessage."""
     reader = PayloadReader(payload)
     number = reader.byte()
     if 20 <= number <= 49:
-        raise Malformed("no key exchange here", KEY_EXCHANGE_FAILED)
-    cls = _NUMBERS.get(number)
+        raise MalformedMessage("no key exchange here", KEY_EXCHANGE_FAILED)
+    cls = _MESSAGE_CLASSES.get(number)
     if cls is None:
         return Unknown(number)
-    values = [reader.rest() if kind == "rest" else _READ[kind](reader) for _, kind in _LAYOUTS[cls]]
+    values = [reader.rest() if kind == "rest" else _READERS[kind](reader) for _, kind in _LAYOUTS[cls]]
     if reader.rest():
-        raise Malformed("message too long")
+        raise MalformedMessage("message too long")
     message: Message = cls(*values)
     return message
 
 
 def encode(message: Message) -> bytes:
-    payload = bytearray((_NUMBER_OF[type(message)],))
+    """Encode a message as one packet."""
+    payload = bytearray((_MESSAGE_NUMBERS[type(message)],))
     for name, kind in _LAYOUTS[type(message)]:
         value = getattr(message, name)
-        payload += value if kind == "rest" else _WRITE[kind](value)
-    return packet(bytes(payload))
+        payload += value if kind == "rest" else _WRITERS[kind](value)
+    return encode_packet(bytes(payload))
 
 
-def packet(payload: bytes) -> bytes:
-    """One packet: its length, the padding's length, the payload, at least four bytes of padding."""
-    padding = BLOCK - (5 + len(payload)) % BLOCK
+def encode_packet(payload: bytes) -> bytes:
+    """Return a packet: its length, the padding's length, the payload, at least four bytes of padding."""
+    padding = BLOCK_BYTES - (5 + len(payload)) % BLOCK_BYTES
     if padding < 4:
-        padding += BLOCK
+        padding += BLOCK_BYTES
     return uint32(1 + len(payload) + padding) + bytes((padding,)) + payload + bytes(padding)
 
 
 class PacketReader:
-    """Cuts a stream of bytes into its version line and then into payloads."""
+    """Splits a stream into its version line and payloads; `banner` allows lines before the version."""
 
     def __init__(self, banner: bool) -> None:
         self._buffer = bytearray()
-        self._lines_left = BANNER_MOST if banner else 0  # only a server may send lines before its version
+        self._banner_lines_left = MAX_BANNER_LINES if banner else 0
         self.version: str | None = None
 
     def feed(self, chunk: bytes) -> None:
@@ -318,46 +320,49 @@
 
     @property
     def pending(self) -> bool:
-        """Whether part of a message has come."""
+        """Whether part of a message has been fed."""
         return bool(self._buffer)
 
     @property
-    def opening(self) -> bool:
-        """Whether that is part of a CHANNEL_OPEN, as far as can be told."""
-        return len(self._buffer) > PAYLOAD_AT and _NUMBERS.get(self._buffer[PAYLOAD_AT]) is ChannelOpen
+    def has_partial_open(self) -> bool:
+        """Whether that part is known to be of a CHANNEL_OPEN."""
+        return (
+            len(self._buffer) > PAYLOAD_OFFSET
+            and _MESSAGE_CLASSES.get(self._buffer[PAYLOAD_OFFSET]) is ChannelOpen
+        )
 
     def next(self) -> bytes | None:
-        """The next payload, or None while it is not whole."""
-        if self.version is None and not self._take_version():
+        """Return the next payload, or None if it is incomplete; raises MalformedMessage."""
+        if self.version is None and not self._read_version():
             return None
-        if len(self._buffer) < PAYLOAD_AT:
+        if len(self._buffer) < PAYLOAD_OFFSET:
             return None
         length = int.from_bytes(self._buffer[:4], "big")
         padding = self._buffer[4]
-        if not 12 <= length <= PACKET_MOST or (length + 4) % BLOCK:
-            raise Malformed(f"packet of {length} bytes")
+        if not 12 <= length <= MAX_PACKET_BYTES or (length + 4) % BLOCK_BYTES:
+            raise MalformedMessage(f"packet of {length} bytes")
         if padding < 4 or padding + 2 > length:
-            raise Malformed(f"padding of {padding} bytes")
+            raise MalformedMessage(f"padding of {padding} bytes")
         if len(self._buffer) < 4 + length:
             return None
-        payload = bytes(self._buffer[PAYLOAD_AT : 4 + length - padding])
+        payload = bytes(self._buffer[PAYLOAD_OFFSET : 4 + length - padding])
         del self._buffer[: 4 + length]
         return payload
 
-    def _take_version(self) -> bool:
+    def _read_version(self) -> bool:
         while True:
             end = self._buffer.find(b"\n")
-            if end + 1 > VERSION_MOST or (end < 0 and len(self._buffer) >= VERSION_MOST):
-                raise Malformed("version line too long")
+            if end + 1 > MAX_VERSION_BYTES or (end < 0 and len(self._buffer) >= MAX_VERSION_BYTES):
+                raise MalformedMessage("version line too long")
             if end < 0:
                 return False
             line = self._buffer[: end + 1].decode("latin-1").rstrip("\r\n")
             del self._buffer[: end + 1]
             if line.startswith("SSH-"):
                 if not line.startswith("SSH-2.0-"):
-                    raise Malformed("only SSH-2.0 is spoken here", VERSION_NOT_SUPPORTED)
+                    raise MalformedMessage("only SSH-2.0 is spoken here", VERSION_NOT_SUPPORTED)
                 self.version = line
                 return True
-            if self._lines_left <= 0:
-                raise Malformed("no version line", VERSION_NOT_SUPPORTED)
-            self._lines_left -= 1
+            if self._banner_lines_left <= 0:
+                raise MalformedMessage("no version line", VERSION_NOT_SUPPORTED)
+            self._banner_lines_left -= 1
--- a/puffinford/fronts/channels/connection.py
+++ b/puffinford/fronts/channels/connection.py
@@ -1,4 +1,4 @@
-"""A channel as a leg of a request."""
+"""One side's connection of a request over the channel front."""
 
 from __future__ import annotations
 
@@ -9,27 +9,30 @@
 from puffinford.fronts.channels import codec
 from puffinford.fronts.channels.multiplexer import Channel
 from puffinford.fronts.channels.opening import encode_refusal
-from puffinford.fronts.sockets import LINGER, LineReader
+from puffinford.fronts.sockets import LINGER_TIMEOUT_MS, LineReader
 
 _KINDS = {codec.MOVE: MessageKind.MOVE, codec.BYE: MessageKind.BYE, codec.NOTE: MessageKind.NOTE}
 _NAMES = {kind: name for name, kind in _KINDS.items()}
 
 
 class ChannelConnection:
+    """A PeerConnection whose messages are lines of channel data and channel requests."""
+
     def __init__(self, channel: Channel, clock: Clock) -> None:
         self._channel = channel
         self._clock = clock
         self._reader = LineReader()
 
     async def receive(self) -> Message:
+        """Return the next message; raises PeerClosed or ConnectionBroken."""
         while (line := self._reader.next()) is None:
             try:
                 item = await self._channel.receive()
             except PeerClosed:
-                rest = self._reader.rest()
-                if not rest:
+                partial_line = self._reader.partial_line()
+                if not partial_line:
                     raise
-                return Message(rest)
+                return Message(partial_line)
             if isinstance(item, bytes):
                 self._reader.feed(item)
             else:
@@ -39,56 +42,60 @@
         return Message(line)
 
     async def send(self, message: Message) -> None:
-        if not self._channel.open:
-            raise ConnectionBroken(
-                "channel not open"
-            )  # served to its end before it stood: the open is refused
+        """Send a message whole; raises ConnectionBroken."""
+        if not self._channel.is_open:
+            # The request ended before Up, and `abort` refuses the open.
+            raise ConnectionBroken("channel not open")
         if message.kind is MessageKind.DATA:
             await self._channel.send(message.data)
         else:
-            await self._tell(message.kind, message.note)
+            await self._send_kind(message.kind, message.note)
 
-    async def _tell(self, kind: MessageKind, note: float = 0.0) -> None:
-        """A request, after all that was sent before it."""
-        await self._channel.drained()
+    async def _send_kind(self, kind: MessageKind, note: float = 0.0) -> None:
+        """Send the channel request for a kind of message, after the data before it."""
+        await self._channel.wait_drained()
         extra = codec.uint32(min(int(note), 0xFFFFFFFF)) if kind is MessageKind.NOTE else b""
-        self._channel.request(_NAMES[kind], extra)
+        self._channel.send_request(_NAMES[kind], extra)
 
     async def has_left(self) -> bool:
+        """Whether the peer has closed the channel, cancelled its open or left."""
         return await self._channel.has_left()
 
     async def answer(self, answer: Up | Busy | Failed) -> None:
+        """Confirm or refuse the peer's open; raises ConnectionBroken."""
         channel = self._channel
-        if channel.gone or channel.settled.is_set():
-            raise ConnectionBroken("connection over")
+        if channel.connection_lost or channel.answered.is_set():
+            raise ConnectionBroken("connection closed or open already answered")
         if isinstance(answer, Up):
             channel.multiplexer.confirm(channel, codec.string(answer.receipt))
         else:
             channel.multiplexer.refuse(channel, *encode_refusal(answer))
 
     async def move(self) -> None:
-        await self._tell(MessageKind.MOVE)
+        """Send the MOVE request, which tells the client to open a new channel."""
+        await self._send_kind(MessageKind.MOVE)
 
     async def end_sending(self) -> None:
-        await self._channel.drained()
-        self._channel.eof()
+        """Send EOF after the remaining data."""
+        await self._channel.wait_drained()
+        self._channel.send_eof()
 
     async def end(self) -> None:
-        """The rest of what was sent, EOF, CLOSE, and a moment for the peer's CLOSE."""
+        """Send the remaining data, EOF and CLOSE, and wait for the peer's CLOSE within a limit."""
         channel = self._channel
-        if not channel.open:
+        if not channel.is_open:
             await self.abort()
             return
-        with self._clock.limit(LINGER), contextlib.suppress(ConnectionBroken):
+        with self._clock.limit(LINGER_TIMEOUT_MS), contextlib.suppress(ConnectionBroken):
             await self.end_sending()
         channel.close()
-        with self._clock.limit(LINGER):
-            await channel.closed()
+        with self._clock.limit(LINGER_TIMEOUT_MS):
+            await channel.wait_closed()
 
     async def abort(self) -> None:
-        """CLOSE without EOF: the peer sees the channel broken. An open still unanswered is refused."""
+        """Send CLOSE without EOF, which the peer takes for a failure; refuse an unanswered open."""
         channel = self._channel
-        if channel.open:
+        if channel.is_open:
             channel.close()
-        elif not (channel.settled.is_set() or channel.gone):
+        elif not (channel.answered.is_set() or channel.connection_lost):
             channel.multiplexer.refuse(channel, codec.FAILED, "given up")
--- a/puffinford/fronts/channels/multiplexer.py
+++ b/puffinford/fronts/channels/multiplexer.py
@@ -1,7 +1,7 @@
-"""One connection with many channels: flow control, the ends of channels, and what ends them all.
+"""Channels multiplexed over one connection: flow control, closing, and errors (RFC 4254, section 5).
 
-The reader never waits for a channel and the writer sends from each channel in turn, so that one slow
-channel does not hold up its neighbours. RFC 4254, section 5, says what the messages mean.
+The reader never waits for a channel and the writer serves channels in turn, so that a slow channel does not
+delay the others.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 
 log = logging.getLogger(__name__)
 
-WINDOW = 16_384  # bytes that a peer may send on a channel before they are taken
-WINDOW_MOST = 0xFFFFFFFF
-CHANNELS_MOST = 64  # open channels of one connection; each may hold a window of bytes
-ITEMS_MOST = 256  # pieces and requests that a channel may hold untaken
-CONTROL_MOST = 1_024  # answers that a peer may leave unread
-HELLO = 2_700.0  # a peer that has sent no version line by then is ended; sound ones may write it slowly
-IDLE = 10_000.0  # and one that has opened no channel by then, or has had none open for so long
+WINDOW_BYTES = 16_384  # unread data that a peer may send on a channel
+MAX_WINDOW_BYTES = 0xFFFFFFFF
+MAX_CHANNELS = 64  # open channels of one connection
+MAX_UNREAD_ITEMS = 256  # pieces of data and requests that a channel buffers
+MAX_QUEUED_MESSAGES = 1_024  # messages to a peer that does not read
+VERSION_TIMEOUT_MS = 2_700.0  # for a peer's version line, and for the rest of a CHANNEL_OPEN
+IDLE_TIMEOUT_MS = 10_000.0  # for a connection without a channel
 
-Open = codec.ChannelOpen
+OpenMessage = codec.ChannelOpen
 
 
-class Refused(Exception):
-    """The peer has answered an open with a failure."""
+class OpenRefused(Exception):
+    """The peer answered an open with CHANNEL_OPEN_FAILURE."""
 
     def __init__(self, reason: int, description: str) -> None:
         super().__init__(description)
@@ -43,278 +43,298 @@
 
 
 class Channel:
-    """One channel, as either end sees it."""
+    """One channel, at either end."""
 
-    def __init__(self, multiplexer: Multiplexer, local: int) -> None:
+    def __init__(self, multiplexer: Multiplexer, local_id: int) -> None:
         self.multiplexer = multiplexer
-        self.local = local
-        self.remote: int | None = None
+        self.local_id = local_id
+        self.remote_id: int | None = None
         self.confirmation = b""
-        self.refused: Refused | None = None
-        self.open = False  # its open was confirmed
-        self.settled = anyio.Event()  # the open is answered, or the connection is gone
+        self.refusal: OpenRefused | None = None
+        self.is_open = False  # the open was confirmed
+        self.answered = anyio.Event()  # set when the open is answered or the connection lost
         self.cancelled = False
-        self.sent_open = False  # its last byte was written ...
-        self.on_sent: Callable[[], None] | None = None  # ... which is told here
-        self.request_open: codec.ChannelOpen | None = None  # what asks for it, where it is of our making
-        self._window_in = WINDOW
-        self._window_out = 0
-        self._packet_most = 0
-        self._in: deque[bytes | codec.ChannelRequest] = deque()
-        self._came = anyio.Event()
-        self._out = bytearray()
+        self.open_sent = False  # all of its open was written
+        self.on_sent: Callable[[], None] | None = None  # called then
+        self.open_message: codec.ChannelOpen | None = None  # the open, if this end sent it
+        self._receive_window = WINDOW_BYTES
+        self._send_window = 0
+        self._max_data_bytes = 0
+        self._unread: deque[bytes | codec.ChannelRequest] = deque()
+        self._changed = anyio.Event()
+        self._unsent = bytearray()
         self._drained = anyio.Event()
         self._drained.set()
-        self._eof_in = self._eof_out = False
-        self._closed_in = self._closed_out = False
-        self.gone = False  # the whole connection is
+        self._eof_received = self._eof_sent = False
+        self._close_received = self._close_sent = False
+        self.connection_lost = False
 
-    # What a leg does
+    # For the request's connection
 
     async def receive(self) -> bytes | codec.ChannelRequest:
-        """The next bytes or request; Ended after EOF, Broken after a close without one."""
-        while not self._in:
-            if self._eof_in:
+        """Return the next data or request; raises PeerClosed after EOF, else ConnectionBroken."""
+        while not self._unread:
+            if self._eof_received:
                 raise PeerClosed
-            if self._closed_in or self._closed_out or self.gone:
+            if self._close_received or self._close_sent or self.connection_lost:
                 raise ConnectionBroken("channel closed")
-            self._came = anyio.Event()
-            await self._came.wait()
-        item = self._in.popleft()
+            self._changed = anyio.Event()
+            await self._changed.wait()
+        item = self._unread.popleft()
         if isinstance(item, bytes):
-            self._grant(len(item))
+            self._restore_window(len(item))
         return item
 
-    def _grant(self, count: int) -> None:
-        """Give back the window that taken bytes held."""
-        self._window_in += count
-        if not (self._closed_in or self._closed_out or self._eof_in) and self.remote is not None:
-            self.multiplexer.post(codec.WindowAdjust(self.remote, count))
+    def _restore_window(self, count: int) -> None:
+        """Return `count` bytes to the peer's window."""
+        self._receive_window += count
+        if (
+            not (self._close_received or self._close_sent or self._eof_received)
+            and self.remote_id is not None
+        ):
+            self.multiplexer.enqueue(codec.WindowAdjust(self.remote_id, count))
 
     async def send(self, data: bytes) -> None:
-        """Send bytes whole, in their order, as the peer's window allows.
+        """Send data as the peer's window allows; raises ConnectionBroken.
 
-        Guards against half a message: once queued its rest goes out even if the caller is cancelled,
-        and what is posted with `post_last` comes after it.
+        Prevents truncated messages: queued data is sent even if the caller is cancelled.
         """
-        if self._closed_in or self._closed_out or self._eof_out or self.gone:
+        if self._close_received or self._close_sent or self._eof_sent or self.connection_lost:
             raise ConnectionBroken("channel closed")
-        self._out += data
+        self._unsent += data
         self._drained = anyio.Event() if self._drained.is_set() else self._drained
-        self.multiplexer.wake(self)
-        await self.drained()
+        self.multiplexer.schedule_write(self)
+        await self.wait_drained()
 
-    async def drained(self) -> None:
-        """Wait until all that was queued is on its way."""
-        while self._out:
-            if self._closed_in or self._closed_out or self.gone:
+    async def wait_drained(self) -> None:
+        """Wait until all queued data has been passed to the writer; raises ConnectionBroken."""
+        while self._unsent:
+            if self._close_received or self._close_sent or self.connection_lost:
                 raise ConnectionBroken("channel closed")
             await self._drained.wait()
 
-    def request(self, name: str, extra: bytes = b"") -> None:
-        if self.remote is not None and not (self._closed_out or self._eof_out or self.gone):
-            self.multiplexer.post(codec.ChannelRequest(self.remote, name, False, extra))
+    def send_request(self, name: str, extra: bytes = b"") -> None:
+        """Send a channel request that wants no reply."""
+        if self.remote_id is not None and not (self._close_sent or self._eof_sent or self.connection_lost):
+            self.multiplexer.enqueue(codec.ChannelRequest(self.remote_id, name, False, extra))
 
-    def eof(self) -> None:
-        if self.remote is not None and not (self._eof_out or self._closed_out or self.gone):
-            self._eof_out = True
-            self.multiplexer.post(codec.Eof(self.remote))
+    def send_eof(self) -> None:
+        """Send EOF."""
+        if self.remote_id is not None and not (self._eof_sent or self._close_sent or self.connection_lost):
+            self._eof_sent = True
+            self.multiplexer.enqueue(codec.Eof(self.remote_id))
 
     def close(self) -> None:
-        """Close our side; what was queued and not sent is dropped."""
-        self._out.clear()
+        """Send CLOSE and drop queued data."""
+        self._unsent.clear()
         self._drained.set()
-        if self.open and self.remote is not None and not (self._closed_out or self.gone):
-            self._closed_out = True
-            self.multiplexer.post(codec.Close(self.remote))
-        self._came.set()
-        self._forget()
-
-    async def closed(self) -> None:
-        """Wait until the peer has closed its side too."""
-        while not (self._closed_in or self.gone):
-            self._in.clear()
-            self._came = anyio.Event()
-            await self._came.wait()
-
-    def _forget(self) -> None:
-        if self._closed_in and self._closed_out:
-            self.multiplexer.forget(self)
+        if self.is_open and self.remote_id is not None and not (self._close_sent or self.connection_lost):
+            self._close_sent = True
+            self.multiplexer.enqueue(codec.Close(self.remote_id))
+        self._changed.set()
+        self._remove_if_closed()
+
+    async def wait_closed(self) -> None:
+        """Wait for the peer's CLOSE, discarding its data."""
+        while not (self._close_received or self.connection_lost):
+            self._unread.clear()
+            self._changed = anyio.Event()
+            await self._changed.wait()
+
+    def _remove_if_closed(self) -> None:
+        if self._close_received and self._close_sent:
+            self.multiplexer.remove_channel(self)
 
     @property
-    def closing(self) -> bool:
-        return self._closed_out
+    def close_sent(self) -> bool:
+        """Whether this end has sent CLOSE."""
+        return self._close_sent
 
     async def has_left(self) -> bool:
-        """Whether the peer has given the channel up, or is gone, read or not."""
-        return await self.multiplexer.ended() or self._closed_in or self._eof_in or self.gone
+        """Whether the peer has closed the channel or the connection, read or not."""
+        return (
+            await self.multiplexer.peer_closed()
+            or self._close_received
+            or self._eof_received
+            or self.connection_lost
+        )
 
-    def withdraw(self) -> None:
-        """The peer has given up an open that is not answered yet: for its request the channel has closed."""
-        self._closed_in = True
-        self._came.set()
+    def handle_cancel(self) -> None:
+        """Treat an unanswered open that the peer has cancelled as a closed channel."""
+        self._close_received = True
+        self._changed.set()
 
-    # What the peer's messages do
+    # For messages of the peer
 
-    def confirmed(self, message: codec.OpenConfirmation) -> None:
-        self.open = True
-        self.remote = message.sender
+    def handle_confirmation(self, message: codec.OpenConfirmation) -> None:
+        """Open the channel, or close it if its open was cancelled."""
+        self.is_open = True
+        self.remote_id = message.sender
         self.confirmation = message.extra
-        self._window_out = message.window
-        self._packet_most = min(message.packet_most, codec.PAYLOAD_MOST)
-        self.settled.set()
+        self._send_window = message.window
+        self._max_data_bytes = min(message.packet_most, codec.MAX_PAYLOAD_BYTES)
+        self.answered.set()
         if self.cancelled:
             self.close()
 
-    def opened(self, message: codec.ChannelOpen) -> None:
-        self.remote = message.sender
-        self._window_out = message.window
-        self._packet_most = min(message.packet_most, codec.PAYLOAD_MOST)
-
-    def took(self, message: codec.Message) -> None:
-        if len(self._in) >= ITEMS_MOST:
-            # Guards the memory limit against pieces of a byte, and requests, which no window counts.
-            raise codec.Malformed(f"too many pieces untaken on channel {self.local}")
+    def handle_open(self, message: codec.ChannelOpen) -> None:
+        """Record the peer's number, window and packet size."""
+        self.remote_id = message.sender
+        self._send_window = message.window
+        self._max_data_bytes = min(message.packet_most, codec.MAX_PAYLOAD_BYTES)
+
+    def handle_message(self, message: codec.Message) -> None:
+        """Apply a message for an answered channel; raises MalformedMessage."""
+        if len(self._unread) >= MAX_UNREAD_ITEMS:
+            # Limits memory: the window does not count requests or the overhead of small pieces.
+            raise codec.MalformedMessage(f"too many pieces untaken on channel {self.local_id}")
         match message:
             case codec.Data(data=data) | codec.ExtendedData(data=data):
-                if len(data) > self._window_in:
-                    raise codec.Malformed(f"window overrun on channel {self.local}")
-                if self._eof_in or self._closed_in:
-                    raise codec.Malformed(f"data after the end of channel {self.local}")
-                self._window_in -= len(data)
+                if len(data) > self._receive_window:
+                    raise codec.MalformedMessage(f"window overrun on channel {self.local_id}")
+                if self._eof_received or self._close_received:
+                    raise codec.MalformedMessage(f"data after the end of channel {self.local_id}")
+                self._receive_window -= len(data)
                 if isinstance(message, codec.ExtendedData):
-                    self._grant(len(data))  # no kind of it is known here
+                    self._restore_window(len(data))  # no data type code is supported
                 elif data:
-                    self._in.append(data)
+                    self._unread.append(data)
             case codec.WindowAdjust(count=count):
-                self._window_out += count
-                if self._window_out > WINDOW_MOST:
-                    raise codec.Malformed(f"window of channel {self.local} past 2^32 - 1")
-                self.multiplexer.wake(self)
+                self._send_window += count
+                if self._send_window > MAX_WINDOW_BYTES:
+                    raise codec.MalformedMessage(f"window of channel {self.local_id} past 2^32 - 1")
+                self.multiplexer.schedule_write(self)
             case codec.ChannelRequest():
                 if message.name in (codec.MOVE, codec.BYE, codec.NOTE):
-                    self._in.append(message)
-                elif message.want_reply and self.remote is not None:
-                    self.multiplexer.post(codec.ChannelFailure(self.remote))
+                    self._unread.append(message)
+                elif message.want_reply and self.remote_id is not None:
+                    self.multiplexer.enqueue(codec.ChannelFailure(self.remote_id))
             case codec.Eof():
-                self._eof_in = True
+                self._eof_received = True
             case codec.Close():
-                self._closed_in = True
-                self._out.clear()
+                self._close_received = True
+                self._unsent.clear()
                 self._drained.set()
-                if not self._closed_out and self.remote is not None:
-                    self._closed_out = True
-                    self.multiplexer.post(codec.Close(self.remote))
-                self._forget()
-        self._came.set()
+                if not self._close_sent and self.remote_id is not None:
+                    self._close_sent = True
+                    self.multiplexer.enqueue(codec.Close(self.remote_id))
+                self._remove_if_closed()
+        self._changed.set()
 
     def next_data(self) -> codec.Data | None:
-        """As much of what is queued as the peer takes now."""
-        count = min(len(self._out), self._window_out, self._packet_most)
-        if count <= 0 or self.remote is None or self._closed_out:
+        """Remove and return as much queued data as the peer's window allows, or None."""
+        count = min(len(self._unsent), self._send_window, self._max_data_bytes)
+        if count <= 0 or self.remote_id is None or self._close_sent:
             return None
-        data = bytes(self._out[:count])
-        del self._out[:count]
-        self._window_out -= count
-        if not self._out:
+        data = bytes(self._unsent[:count])
+        del self._unsent[:count]
+        self._send_window -= count
+        if not self._unsent:
             self._drained.set()
-        return codec.Data(self.remote, data)
+        return codec.Data(self.remote_id, data)
 
-    def lost(self) -> None:
-        self.gone = True
-        self.settled.set()
+    def handle_connection_loss(self) -> None:
+        """Wake all waiters after the connection has closed."""
+        self.connection_lost = True
+        self.answered.set()
         self._drained.set()
-        self._came.set()
+        self._changed.set()
 
 
 class Multiplexer:
-    """A connection. `on_open` answers what the peer opens; without it, none may."""
+    """Runs one connection and its channels.
+
+    `is_client` tells which end this is; `on_open` answers the peer's opens, which are refused without it.
+    """
 
     def __init__(
         self,
         stream: TcpStream,
         clock: Clock,
         *,
-        client: bool,
-        on_open: Callable[[Channel, Open], None] | None = None,
+        is_client: bool,
+        on_open: Callable[[Channel, OpenMessage], None] | None = None,
         tracker: ConnectionTracker | None = None,
     ) -> None:
         self._stream = stream
-        self._tracker = tracker  # where a connection without a channel waits; a server's needs none
+        self._tracker = tracker  # evicts idle connections of clients; None for servers
         self._clock = clock
-        self._client = client
+        self._is_client = is_client
         self._on_open = on_open
         self._channels: dict[int, Channel] = {}
-        self._theirs: dict[int, Channel] = {}  # by the peer's number, those that the peer opened
-        self._next = 0
-        self._control: deque[codec.Message | Channel] = deque()
-        self._ready: deque[Channel] = deque()
-        self._work = anyio.Event()
-        self.up = anyio.Event()  # the peer's version has come, or the connection is over
-        self.over = False
-        self.heard_at = clock.now()  # when the last bytes came
-        self._reading = anyio.CancelScope()
+        self._peer_channels: dict[int, Channel] = {}  # those that the peer opened, by its numbers
+        self._next_id = 0
+        self._queued_messages: deque[codec.Message | Channel] = deque()
+        self._writable_channels: deque[Channel] = deque()
+        self._work_available = anyio.Event()
+        self.ready = anyio.Event()  # set when the peer's version has arrived or the connection closed
+        self.closed = False
+        self.last_read_at = clock.now()
+        self._read_scope = anyio.CancelScope()
         self._retired = False
 
     async def run(self) -> None:
-        """Serve the connection to its end; never raises for what the peer does."""
-        fault: codec.Malformed | None = None
+        """Serve the connection until it is closed; errors of the peer are not raised."""
+        error: codec.MalformedMessage | None = None
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._write)
-                with self._reading, self._session():
-                    fault = await self._read()
+                with self._read_scope, self._session():
+                    error = await self._read()
                 tasks.cancel_scope.cancel()
         finally:
-            self.over = True
-            self.up.set()
-            pending = list(self._channels.values())
+            self.closed = True
+            self.ready.set()
+            channels = list(self._channels.values())
             with anyio.CancelScope(shield=True):
-                await self._goodbye(fault, pending)
-            for channel in pending:
-                channel.lost()
+                await self._send_final_messages(error, channels)
+            for channel in channels:
+                channel.handle_connection_loss()
             self._channels.clear()
             await self._stream.end()
 
-    async def _goodbye(self, fault: codec.Malformed | None, pending: list[Channel]) -> None:
-        """Answer each open that still waits, close what stands, say why, and go."""
-        last = [item for item in self._control if not isinstance(item, Channel)]
-        for channel in pending:
-            if channel.remote is None:
+    async def _send_final_messages(
+        self, error: codec.MalformedMessage | None, channels: list[Channel]
+    ) -> None:
+        """Refuse unanswered opens, close open channels, and send DISCONNECT with the reason."""
+        final_messages = [item for item in self._queued_messages if not isinstance(item, Channel)]
+        for channel in channels:
+            if channel.remote_id is None:
                 continue
-            if self._theirs.get(channel.remote) is channel and not channel.settled.is_set():
-                last.append(codec.OpenFailure(channel.remote, codec.FAILED, "connection ends"))
-            elif channel.open and not channel.closing:
-                last.append(codec.Close(channel.remote))
-        reason = codec.BY_APPLICATION if fault is None else fault.reason
-        if fault is not None:
-            log.warning("malformed", extra={"error": str(fault), "reason": reason})
-        last.append(codec.Disconnect(reason, str(fault or "end of service")))
+            if self._peer_channels.get(channel.remote_id) is channel and not channel.answered.is_set():
+                final_messages.append(codec.OpenFailure(channel.remote_id, codec.FAILED, "connection ends"))
+            elif channel.is_open and not channel.close_sent:
+                final_messages.append(codec.Close(channel.remote_id))
+        reason = codec.BY_APPLICATION if error is None else error.reason
+        if error is not None:
+            log.warning("malformed", extra={"error": str(error), "reason": reason})
+        final_messages.append(codec.Disconnect(reason, str(error or "end of service")))
         with contextlib.suppress(ConnectionBroken):
-            await self._stream.finish(b"".join(map(codec.encode, last)))
+            await self._stream.finish(b"".join(map(codec.encode, final_messages)))
 
     # Reading
 
-    async def ended(self) -> bool:
-        """Whether the peer's end has arrived; what came before it has been taken in."""
-        return self.over or await self._stream.ended()
+    async def peer_closed(self) -> bool:
+        """Whether the connection is closed or the peer's FIN or RST has arrived."""
+        return self.closed or await self._stream.peer_closed()
 
-    async def _read(self) -> codec.Malformed | None:
-        packets = codec.PacketReader(banner=self._client)
+    async def _read(self) -> codec.MalformedMessage | None:
+        """Handle messages until the connection ends; return the error to report in DISCONNECT, if any."""
+        packets = codec.PacketReader(banner=self._is_client)
         try:
-            with self._waiting(HELLO) as heard:
+            with self._idle_timeout(VERSION_TIMEOUT_MS) as on_activity:
                 while packets.version is None:
-                    self._hello(packets, await self._stream.read())
-                    heard()
+                    self._feed_version(packets, await self._stream.read())
+                    on_activity()
             if packets.version is None:
-                self._hello(packets, self._stream.read_ready())
+                self._feed_version(packets, self._stream.read_available())
             if packets.version is None:
-                if self._dismissed:
+                if self._shutting_down:
                     return None
-                return codec.Malformed("no version line in time", codec.VERSION_NOT_SUPPORTED)
-            self.up.set()
-            half_since: float | None = None  # when the message that is not whole began
-            overdue = False  # its time is up, and what had arrived by then was read
+                return codec.MalformedMessage("no version line in time", codec.VERSION_NOT_SUPPORTED)
+            self.ready.set()
+            partial_since: float | None = None  # when the first byte of a partial message arrived
+            timed_out = False  # its timeout is over, and input that had arrived by then was read
             while True:
                 while (payload := packets.next()) is not None:
                     message = codec.decode(payload)
@@ -323,98 +343,110 @@
                             "disconnected", extra={"reason": message.reason, "why": message.description[:100]}
                         )
                         return None
-                    self._take(message)
-                    half_since, overdue = None, False
-                if half_since is None and packets.pending:
-                    half_since = self._clock.now()
-                if len(self._control) > CONTROL_MOST:
-                    # Guards the memory against a peer that asks on and reads nothing.
-                    return codec.Malformed("too many answers unread")
+                    self._handle_message(message)
+                    partial_since, timed_out = None, False
+                if partial_since is None and packets.pending:
+                    partial_since = self._clock.now()
+                if len(self._queued_messages) > MAX_QUEUED_MESSAGES:
+                    # Limits memory for a peer that sends requests and reads no answers.
+                    return codec.MalformedMessage("too many answers unread")
                 chunk = b""
-                with self._patience(packets, half_since):
+                with self._read_timeout(packets, partial_since):
                     chunk = await self._stream.read()
-                if not chunk and not overdue:
-                    # Guards an open that came in the moment in which the time was up, or its place needed.
-                    chunk, overdue = self._stream.read_ready(), half_since is not None
+                if not chunk and not timed_out:
+                    # A CHANNEL_OPEN may have arrived as the wait was cancelled.
+                    chunk, timed_out = self._stream.read_available(), partial_since is not None
                 if not chunk:
-                    if self._dismissed:
+                    if self._shutting_down:
                         return None
-                    why = "idle" if half_since is None else "no whole message in time"
-                    return codec.Malformed(why, codec.BY_APPLICATION)
+                    cause = "idle" if partial_since is None else "no whole message in time"
+                    return codec.MalformedMessage(cause, codec.BY_APPLICATION)
                 packets.feed(chunk)
-                self.heard_at = self._clock.now()
-        except codec.Malformed as exc:
+                self.last_read_at = self._clock.now()
+        except codec.MalformedMessage as exc:
             return exc
         except (PeerClosed, ConnectionBroken):
             return None
 
     def _session(self) -> contextlib.AbstractContextManager[None]:
-        """Where the end of the process ends this connection, whatever channels its peer leaves open."""
-        return contextlib.nullcontext() if self._tracker is None else self._tracker.session(self._reading)
+        """Register the connection to be closed at shutdown, whatever channels are open."""
+        return (
+            contextlib.nullcontext()
+            if self._tracker is None
+            else self._tracker.track_session(self._read_scope)
+        )
 
     @property
-    def _dismissed(self) -> bool:
-        return self._tracker is not None and self._tracker.dismissed
+    def _shutting_down(self) -> bool:
+        return self._tracker is not None and self._tracker.shutting_down
 
-    def _hello(self, packets: codec.PacketReader, chunk: bytes) -> None:
-        """Take in what came before or with the version line."""
+    def _feed_version(self, packets: codec.PacketReader, chunk: bytes) -> None:
+        """Feed input up to the version line, and handle a message that follows it."""
         packets.feed(chunk)
         payload = packets.next()
         if payload is not None:
-            self.up.set()
-            self._take(codec.decode(payload))
+            self.ready.set()
+            self._handle_message(codec.decode(payload))
 
     @property
-    def _idle(self) -> bool:
+    def _is_idle(self) -> bool:
         return self._tracker is not None and not self._channels
 
-    def _patience(
-        self, packets: codec.PacketReader, half_since: float | None
+    def _read_timeout(
+        self, packets: codec.PacketReader, partial_since: float | None
     ) -> contextlib.AbstractContextManager[object]:
-        """How long the peer's next bytes are waited for.
+        """Return the time limit for the next read.
 
-        Guards the descriptors against peers that stop in the middle of a request: its half is given as long
-        as a version line, whatever the connection may rest otherwise.
+        Prevents peers that send part of a CHANNEL_OPEN from holding a descriptor for IDLE_TIMEOUT_MS.
         """
-        if self._tracker is not None and half_since is not None and (self._idle or packets.opening):
-            left = half_since + HELLO - self._clock.now()
-            return self._tracker.evictable_wait(left) if self._idle else self._clock.limit(left)
-        return self._waiting(IDLE) if self._idle else contextlib.nullcontext()
+        if (
+            self._tracker is not None
+            and partial_since is not None
+            and (self._is_idle or packets.has_partial_open)
+        ):
+            remaining_ms = partial_since + VERSION_TIMEOUT_MS - self._clock.now()
+            return (
+                self._tracker.evictable_wait(remaining_ms)
+                if self._is_idle
+                else self._clock.limit(remaining_ms)
+            )
+        return self._idle_timeout(IDLE_TIMEOUT_MS) if self._is_idle else contextlib.nullcontext()
 
     @contextlib.contextmanager
-    def _waiting(self, ms: float) -> Iterator[Callable[[], object]]:
+    def _idle_timeout(self, timeout_ms: float) -> Iterator[Callable[[], object]]:
+        """Limit the block like `ConnectionTracker.evictable_wait`, or just in time without a tracker."""
         with contextlib.ExitStack() as stack:
             if self._tracker is not None:
-                yield stack.enter_context(self._tracker.evictable_wait(ms))
+                yield stack.enter_context(self._tracker.evictable_wait(timeout_ms))
             else:
-                stack.enter_context(self._clock.limit(ms))
-                yield int  # nobody asks
+                stack.enter_context(self._clock.limit(timeout_ms))
+                yield int  # activity is not tracked
 
-    def _take(self, message: codec.Message) -> None:
+    def _handle_message(self, message: codec.Message) -> None:
         match message:
             case codec.ChannelOpen():
-                self._take_open(message)
+                self._handle_open(message)
             case codec.OpenConfirmation() | codec.OpenFailure():
                 channel = self._channels.get(message.recipient)
-                if channel is None or channel.settled.is_set() or channel.remote is not None:
-                    raise codec.Malformed(f"answer to no open: channel {message.recipient}")
+                if channel is None or channel.answered.is_set() or channel.remote_id is not None:
+                    raise codec.MalformedMessage(f"answer to no open: channel {message.recipient}")
                 if isinstance(message, codec.OpenConfirmation):
-                    channel.confirmed(message)
+                    channel.handle_confirmation(message)
                 else:
-                    self.forget(channel)
-                    channel.refused = Refused(message.reason, message.description)
-                    channel.settled.set()
+                    self.remove_channel(channel)
+                    channel.refusal = OpenRefused(message.reason, message.description)
+                    channel.answered.set()
             case codec.GlobalRequest():
                 if message.name == codec.CANCEL:
                     number = codec.PayloadReader(message.extra).uint32()
-                    channel = self._theirs.get(number)
-                    if channel is not None and not channel.settled.is_set():
-                        channel.withdraw()
+                    channel = self._peer_channels.get(number)
+                    if channel is not None and not channel.answered.is_set():
+                        channel.handle_cancel()
                 elif message.want_reply:
-                    self.post(codec.RequestFailure())
+                    self.enqueue(codec.RequestFailure())
             case codec.Unknown():
-                # The number of the packet is not kept: nothing here asks for it.
-                self.post(codec.Unimplemented(0))
+                # Sequence numbers are not tracked, so 0 is sent.
+                self.enqueue(codec.Unimplemented(0))
             case (
                 codec.Ignore()
                 | codec.Debug()
@@ -426,139 +458,149 @@
                 pass
             case _:
                 channel = self._channels.get(message.recipient)
-                if channel is None or not channel.settled.is_set():
-                    raise codec.Malformed(f"unknown channel {message.recipient}")
-                channel.took(message)
+                if channel is None or not channel.answered.is_set():
+                    raise codec.MalformedMessage(f"unknown channel {message.recipient}")
+                channel.handle_message(message)
 
-    def _take_open(self, message: codec.ChannelOpen) -> None:
+    def _handle_open(self, message: codec.ChannelOpen) -> None:
         sender = message.sender
-        if sender in self._theirs:
-            raise codec.Malformed(f"channel {sender} is open already")
+        if sender in self._peer_channels:
+            raise codec.MalformedMessage(f"channel {sender} is open already")
         if self._on_open is None or message.kind != codec.REQUEST_CHANNEL:
-            self.post(codec.OpenFailure(sender, codec.UNKNOWN_TYPE, f"unknown type {message.kind[:60]}"))
-        elif len(self._channels) >= CHANNELS_MOST:
-            self.post(
+            self.enqueue(codec.OpenFailure(sender, codec.UNKNOWN_TYPE, f"unknown type {message.kind[:60]}"))
+        elif len(self._channels) >= MAX_CHANNELS:
+            self.enqueue(
                 codec.OpenFailure(sender, codec.RESOURCE_SHORTAGE, "too many channels; retry-after=1000")
             )
         else:
-            channel = self._new()
-            channel.opened(message)
-            self._theirs[sender] = channel
+            channel = self._add_channel()
+            channel.handle_open(message)
+            self._peer_channels[sender] = channel
             self._on_open(channel, message)
 
-    def _new(self) -> Channel:
-        while self._next in self._channels:
-            self._next = (self._next + 1) & 0xFFFFFFFF
-        channel = self._channels[self._next] = Channel(self, self._next)
-        self._next = (self._next + 1) & 0xFFFFFFFF
+    def _add_channel(self) -> Channel:
+        while self._next_id in self._channels:
+            self._next_id = (self._next_id + 1) & 0xFFFFFFFF
+        channel = self._channels[self._next_id] = Channel(self, self._next_id)
+        self._next_id = (self._next_id + 1) & 0xFFFFFFFF
         return channel
 
-    def forget(self, channel: Channel) -> None:
-        self._channels.pop(channel.local, None)
-        if channel.remote is not None and self._theirs.get(channel.remote) is channel:
-            del self._theirs[channel.remote]
-        self._end_if_retired()
+    def remove_channel(self, channel: Channel) -> None:
+        """Free the channel's numbers."""
+        self._channels.pop(channel.local_id, None)
+        if channel.remote_id is not None and self._peer_channels.get(channel.remote_id) is channel:
+            del self._peer_channels[channel.remote_id]
+        self._stop_if_retired()
 
     def retire(self) -> None:
-        """Open no more channels here; the connection ends with those that stand."""
+        """Close the connection once its channels are closed; callers open no more."""
         self._retired = True
-        self._end_if_retired()
+        self._stop_if_retired()
 
-    def _end_if_retired(self) -> None:
-        if self._retired and all(one.cancelled or one.closing for one in self._channels.values()):
-            self._reading.cancel()
+    def _stop_if_retired(self) -> None:
+        if self._retired and all(
+            channel.cancelled or channel.close_sent for channel in self._channels.values()
+        ):
+            self._read_scope.cancel()
 
-    # Answering and opening
+    # Opening channels and answering opens
 
     def confirm(self, channel: Channel, extra: bytes) -> None:
-        assert channel.remote is not None and not channel.settled.is_set()
-        channel.open = True
-        channel.settled.set()
-        self.post(codec.OpenConfirmation(channel.remote, channel.local, WINDOW, codec.PAYLOAD_MOST, extra))
+        """Confirm the peer's open; `extra` is the data of the confirmation."""
+        assert channel.remote_id is not None and not channel.answered.is_set()
+        channel.is_open = True
+        channel.answered.set()
+        self.enqueue(
+            codec.OpenConfirmation(
+                channel.remote_id, channel.local_id, WINDOW_BYTES, codec.MAX_PAYLOAD_BYTES, extra
+            )
+        )
 
     def refuse(self, channel: Channel, reason: int, description: str) -> None:
-        assert channel.remote is not None and not channel.settled.is_set()
-        channel.settled.set()
-        self.post(codec.OpenFailure(channel.remote, reason, description))
-        self.forget(channel)
-
-    async def open(self, extra: bytes, sent: Callable[[], None]) -> Channel:
-        """Open a channel; it is settled once the peer has answered. `sent` hears that the open is out."""
-        if self.over:
-            raise ConnectionBroken("connection over")
-        if len(self._channels) >= CHANNELS_MOST:
-            raise Refused(codec.RESOURCE_SHORTAGE, "too many channels")
-        channel = self._new()
+        """Answer the peer's open with CHANNEL_OPEN_FAILURE."""
+        assert channel.remote_id is not None and not channel.answered.is_set()
+        channel.answered.set()
+        self.enqueue(codec.OpenFailure(channel.remote_id, reason, description))
+        self.remove_channel(channel)
+
+    async def open_channel(self, extra: bytes, sent: Callable[[], None]) -> Channel:
+        """Send a CHANNEL_OPEN and call `sent` when it is written; raises ConnectionBroken, OpenRefused."""
+        if self.closed:
+            raise ConnectionBroken("connection closed")
+        if len(self._channels) >= MAX_CHANNELS:
+            raise OpenRefused(codec.RESOURCE_SHORTAGE, "too many channels")
+        channel = self._add_channel()
         channel.on_sent = sent
-        channel.request_open = codec.ChannelOpen(
-            codec.REQUEST_CHANNEL, channel.local, WINDOW, codec.PAYLOAD_MOST, extra
+        channel.open_message = codec.ChannelOpen(
+            codec.REQUEST_CHANNEL, channel.local_id, WINDOW_BYTES, codec.MAX_PAYLOAD_BYTES, extra
         )
-        self.post(channel.request_open)
-        self._control.append(channel)  # marks it as sent once the writer has passed it
+        self.enqueue(channel.open_message)
+        self._queued_messages.append(channel)  # marker: the writer sets `open_sent` when it gets here
         return channel
 
-    def waits(self, channel: Channel) -> bool:
-        """Whether the open of a channel of ours is queued, and nothing of it was written."""
-        return channel in self._control
+    def is_queued(self, channel: Channel) -> bool:
+        """Whether no byte of the channel's open has been written."""
+        return channel in self._queued_messages
 
     def cancel_open(self, channel: Channel) -> None:
-        """Give up an open that has no answer yet: the peer is told, and a late channel is closed.
+        """Cancel an open: withdraw it if unwritten, notify the peer if unanswered, else close the channel.
 
-        Guards against an attempt that comes beside the next one: an open that still waits to be written, for
-        the peer reads nothing, never is.
+        Prevents an open that is queued behind a peer that does not read from starting a second attempt.
         """
-        if channel.settled.is_set():
-            if channel.remote is not None:
+        if channel.answered.is_set():
+            if channel.remote_id is not None:
                 channel.close()
             return
-        if self.waits(channel):
-            assert channel.request_open is not None
-            self._control.remove(channel.request_open)
-            self._control.remove(channel)
-            self.forget(channel)
+        if self.is_queued(channel):
+            assert channel.open_message is not None
+            self._queued_messages.remove(channel.open_message)
+            self._queued_messages.remove(channel)
+            self.remove_channel(channel)
             return
         channel.cancelled = True
-        self.post(codec.GlobalRequest(codec.CANCEL, False, codec.uint32(channel.local)))
-        self._end_if_retired()
+        self.enqueue(codec.GlobalRequest(codec.CANCEL, False, codec.uint32(channel.local_id)))
+        self._stop_if_retired()
 
     # Writing
 
-    def post(self, message: codec.Message) -> None:
-        self._control.append(message)
-        self._work.set()
+    def enqueue(self, message: codec.Message) -> None:
+        """Queue a message for the writer."""
+        self._queued_messages.append(message)
+        self._work_available.set()
 
-    def wake(self, channel: Channel) -> None:
-        if channel not in self._ready:
-            self._ready.append(channel)
-        self._work.set()
+    def schedule_write(self, channel: Channel) -> None:
+        """Let the writer send the channel's data."""
+        if channel not in self._writable_channels:
+            self._writable_channels.append(channel)
+        self._work_available.set()
 
     async def _write(self) -> None:
-        """What is posted goes first, then one packet of each channel that has data, in turn."""
+        """Write queued messages first, then one packet of data for each channel in turn."""
         try:
             await self._stream.write(codec.VERSION.encode() + b"\r\n")
             while True:
-                self._work = anyio.Event()
-                while self._control or self._ready:
+                self._work_available = anyio.Event()
+                while self._queued_messages or self._writable_channels:
                     batch = bytearray()
                     sent = []
-                    while self._control:
-                        item = self._control.popleft()
+                    while self._queued_messages:
+                        item = self._queued_messages.popleft()
                         if isinstance(item, Channel):
                             sent.append(item)
                         else:
                             batch += codec.encode(item)
-                    for _ in range(len(self._ready)):
-                        channel = self._ready.popleft()
+                    for _ in range(len(self._writable_channels)):
+                        channel = self._writable_channels.popleft()
                         data = channel.next_data()
                         if data is not None:
                             batch += codec.encode(data)
-                            self._ready.append(channel)
+                            self._writable_channels.append(channel)
                     if batch:
                         await self._stream.write(bytes(batch))
                     for channel in sent:
-                        channel.sent_open = True
+                        channel.open_sent = True
                         if channel.on_sent is not None:
                             channel.on_sent()
-                await self._work.wait()
+                await self._work_available.wait()
         except ConnectionBroken:
-            pass  # the reader hears it too
+            pass  # the reader fails as well, and ends the connection
--- a/puffinford/fronts/connecting.py
+++ b/puffinford/fronts/connecting.py
@@ -1,4 +1,4 @@
-"""Connections to servers: made, tried again after a lack of the moment, or given up."""
+"""Opening TCP connections to servers, with retries after transient local errors."""
 
 from __future__ import annotations
 
@@ -11,41 +11,42 @@
 
 from puffinford.core.clock import Clock
 from puffinford.core.transient_errors import LOCAL_SHORTAGE_ERRNOS, RETRY_PAUSES_MS, TRANSIENT_ERRNOS
-from puffinford.fronts.sockets import DescriptorBudget, OwnLack, TcpStream, socket_address
+from puffinford.fronts.sockets import DescriptorBudget, LocalShortage, TcpStream, socket_address
 
-log = logging.getLogger("puffinford.fronts.sockets")  # operators find these lines by `from`
+log = logging.getLogger("puffinford.fronts.sockets")  # the name that operators filter logs by
 
-CONNECT_PAUSES = RETRY_PAUSES_MS[:3]  # the same for a connect, which another server may take
+CONNECT_RETRY_PAUSES_MS = RETRY_PAUSES_MS[:3]  # fewer than elsewhere: another server may do
 
 
 async def connect(address: tuple[str, int], clock: Clock, budget: DescriptorBudget) -> TcpStream | None:
-    """A connection, or None where it is refused or unreachable; raises OwnLack.
+    """Return a connection, or None if it is refused or the server is unreachable.
 
-    Guards sound servers, and clients, against what this machine lacks for a moment: it is waited out first.
+    Raises LocalShortage if this host is short of a resource; transient errors are retried first, so that they
+    do not make a healthy server count as failed.
     """
-    made = await _connect_once(address, clock, budget)
-    for pause in CONNECT_PAUSES:
-        if isinstance(made, TcpStream) or made.errno not in TRANSIENT_ERRNOS:
+    result = await _connect_once(address, clock, budget)
+    for pause in CONNECT_RETRY_PAUSES_MS:
+        if isinstance(result, TcpStream) or result.errno not in TRANSIENT_ERRNOS:
             break
         await clock.sleep(pause)
-        made = await _connect_once(address, clock, budget)
-    if isinstance(made, TcpStream):
-        return made
-    own = made.of_socket or made.errno in LOCAL_SHORTAGE_ERRNOS
-    error = errno.errorcode.get(made.errno, str(made.errno))
-    told = {"to": "{}:{}".format(*address), "error": error}
-    log.log(logging.WARNING if own else logging.INFO, "connect failed", extra=told)
-    if own:
-        raise OwnLack(made.errno)
+        result = await _connect_once(address, clock, budget)
+    if isinstance(result, TcpStream):
+        return result
+    is_local = result.no_socket or result.errno in LOCAL_SHORTAGE_ERRNOS
+    error = errno.errorcode.get(result.errno, str(result.errno))
+    fields = {"to": "{}:{}".format(*address), "error": error}
+    log.log(logging.WARNING if is_local else logging.INFO, "connect failed", extra=fields)
+    if is_local:
+        raise LocalShortage(result.errno)
     return None
 
 
 @dataclass(frozen=True, slots=True)
 class _Failure:
-    """Why a connection was not made; `of_socket`: there was not even a socket for it."""
+    """Why a connection failed; `no_socket` if socket(2) itself failed."""
 
     errno: int
-    of_socket: bool = False
+    no_socket: bool = False
 
 
 async def _connect_once(
@@ -55,7 +56,7 @@
     try:
         sock = socket.socket(family, socket.SOCK_STREAM)
     except OSError as exc:
-        return _Failure(exc.errno or errno.EIO, of_socket=True)
+        return _Failure(exc.errno or errno.EIO, no_socket=True)
     stream = TcpStream(sock, clock, budget)
     try:
         error = sock.connect_ex(target)
--- a/puffinford/fronts/lines/__init__.py
+++ b/puffinford/fronts/lines/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's line protocol."""
+"""Front for the platform's line protocol: one TCP connection a request."""
--- a/puffinford/fronts/lines/codec.py
+++ b/puffinford/fronts/lines/codec.py
@@ -1,4 +1,4 @@
-"""The lines of the platform's protocol and their values. Each is decoded once and encoded once."""
+"""Encoding and decoding of the lines of the platform's protocol."""
 
 from __future__ import annotations
 
@@ -16,76 +16,79 @@
     Up,
     parse_number,
 )
-from puffinford.fronts.sockets import LINE_MOST
+from puffinford.fronts.sockets import MAX_LINE_BYTES
 from puffinford.interface import Result
 
-_CONTROL = re.compile(r"[\x00-\x1f\x7f]")
-END = b"\r\n"
+_CONTROL_CHARACTERS = re.compile(r"[\x00-\x1f\x7f]")
+LINE_END = b"\r\n"
 PING = "PING"
 STATS = "STATS"
-PONG = b"PONG" + END
-MOVE = b"MOVE" + END
+PONG = b"PONG" + LINE_END
+MOVE = b"MOVE" + LINE_END
 
 
-class BadLine(InvalidOpening):
-    """A line in no known form; the text says what is wrong."""
+class InvalidLine(InvalidOpening):
+    """A line that cannot be parsed; the message gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ping:
+    """A client's PING."""
+
     pass
 
 
-def _text(line: bytes) -> str:
-    if not line.endswith(END):
-        raise BadLine("no line end")
-    # Latin-1 keeps every byte, so that the line goes on as it came.
+def _decode_text(line: bytes) -> str:
+    if not line.endswith(LINE_END):
+        raise InvalidLine("no line end")
+    # Latin-1 preserves every byte, so that the line is passed on unchanged.
     return line[:-2].decode("latin-1")
 
 
-def decode_first(line: bytes) -> Opening | Ping:
-    """The first line of a client."""
-    if len(line) > LINE_MOST:
-        raise BadLine("line too long")
-    text = _text(line)
+def decode_command(line: bytes) -> Opening | Ping:
+    """Decode a client's OPEN or PING; raises InvalidLine, or InvalidOpening for its values."""
+    if len(line) > MAX_LINE_BYTES:
+        raise InvalidLine("line too long")
+    text = _decode_text(line)
     if text == PING:
         return Ping()
     parts = text.split(" ")
     if len(parts) != 4 or parts[0] != "OPEN" or not parts[1] or not parts[2]:
-        raise BadLine("not OPEN ID KEY LIST")
-    if _CONTROL.search(text):
-        raise BadLine("control characters")
+        raise InvalidLine("not OPEN ID KEY LIST")
+    if _CONTROL_CHARACTERS.search(text):
+        raise InvalidLine("control characters")
     parameters = []
-    for piece in parts[3].split(","):
-        name, sign, value = piece.partition("=")
-        parameters.append((name, value if sign else None))
+    for item in parts[3].split(","):
+        name, separator, value = item.partition("=")
+        parameters.append((name, value if separator else None))
     return Opening.from_parameters(parts[1], parts[2], tuple(parameters))
 
 
-def encode_opening(opening: Opening, wait: float) -> bytes:
-    """The line as it came, but for `d`."""
-    left = str(max(1, int(wait)))  # never longer than it is
-    pieces = [n if v is None else f"{n}={left if n == 'd' else v}" for n, v in opening.parameters]
-    return f"OPEN {opening.request_id} {opening.key} {','.join(pieces)}".encode("latin-1") + END
+def encode_opening(opening: Opening, timeout_ms: float) -> bytes:
+    """Encode an OPEN with its parameters unchanged, except that `d` is the remaining timeout in ms."""
+    remaining_ms = str(max(1, int(timeout_ms)))  # rounded down
+    items = [n if v is None else f"{n}={remaining_ms if n == 'd' else v}" for n, v in opening.parameters]
+    return f"OPEN {opening.request_id} {opening.key} {','.join(items)}".encode("latin-1") + LINE_END
 
 
 def encode_answer(answer: Up | Busy | Failed) -> bytes:
+    """Encode the answer to an OPEN; a retry-after is rounded up to whole ms."""
     match answer:
         case Up():
-            return f"UP {answer.receipt}".encode("latin-1") + END
+            return f"UP {answer.receipt}".encode("latin-1") + LINE_END
         case Busy(retry_after) if retry_after >= 1:
-            return f"BUSY {math.ceil(retry_after)}".encode() + END
+            return f"BUSY {math.ceil(retry_after)}".encode() + LINE_END
         case Busy():
-            return b"BUSY" + END
+            return b"BUSY" + LINE_END
         case Failed():
-            return f"ERR {answer.reason}".encode("latin-1", "replace") + END
+            return f"ERR {answer.reason}".encode("latin-1", "replace") + LINE_END
 
 
 def decode_answer(line: bytes) -> tuple[Up | Result, str]:
-    """A server's first line: UP, or how the attempt ended, with the load report that it may end with."""
+    """Decode a server's first line: UP or the attempt's result, and the load report after it, if any."""
     try:
-        word, _, rest = _text(line).partition(" ")
-    except BadLine:
+        word, _, rest = _decode_text(line).partition(" ")
+    except InvalidLine:
         return Result.ERROR, ""
     if word == "UP" and rest:
         return Up(rest), ""
@@ -93,17 +96,17 @@
     return result, "" if word == "MOVE" else rest
 
 
-def decode_probe(line: bytes) -> tuple[Result, str]:
-    """A server's answer to PING or STATS, with the load report that may follow."""
+def decode_probe_answer(line: bytes) -> tuple[Result, str]:
+    """Decode a server's answer to PING or STATS: the result, and the load report after it, if any."""
     try:
-        word, _, rest = _text(line).partition(" ")
-    except BadLine:
+        word, _, rest = _decode_text(line).partition(" ")
+    except InvalidLine:
         return Result.ERROR, ""
     return (Result.OK, rest) if word == "PONG" else (Result.ERROR, "")
 
 
 def decode_message(line: bytes) -> Message:
-    """A line on a standing connection."""
+    """Decode a line of an established connection."""
     word, _, rest = line.rstrip(b"\r\n").partition(b" ")
     if word == b"BYE":
         return Message(line, MessageKind.BYE, report=rest.decode("latin-1"))
@@ -116,11 +119,11 @@
     return Message(line)
 
 
-_LINES = {MessageKind.BYE: b"BYE" + END, MessageKind.MOVE: MOVE}
+_LINES_BY_KIND = {MessageKind.BYE: b"BYE" + LINE_END, MessageKind.MOVE: MOVE}
 
 
 def encode_message(message: Message) -> bytes:
-    """The line as it came; where it came by other means, the line for its kind."""
+    """Return the original line of a message, or a line for its kind if it came over another front."""
     if message.data or message.kind is MessageKind.DATA:
         return message.data
-    return _LINES.get(message.kind) or f"LOAD {message.note:g}".encode() + END
+    return _LINES_BY_KIND.get(message.kind) or f"LOAD {message.note:g}".encode() + LINE_END
--- a/puffinford/fronts/lines/connection.py
+++ b/puffinford/fronts/lines/connection.py
@@ -1,4 +1,4 @@
-"""A line connection as a leg of a request."""
+"""One side's connection of a request over the line front."""
 
 from __future__ import annotations
 
@@ -8,79 +8,89 @@
 
 from puffinford.core.values import Busy, Failed, Message, PeerClosed, Up
 from puffinford.fronts.lines import codec
-from puffinford.fronts.sockets import LINES_TURN, LineReader, TcpStream
+from puffinford.fronts.sockets import MAX_LINES_PER_TURN, LineReader, TcpStream
 
 
 class LineConnection:
+    """A PeerConnection whose messages are lines; to the client or to the server."""
+
     def __init__(self, stream: TcpStream) -> None:
         self._stream = stream
         self._reader = LineReader()
-        self._taken = 0
+        self._lines_read = 0
 
     @property
     def pending(self) -> bool:
-        """Whether more has come than the lines that were taken."""
+        """Whether bytes were read that no returned line holds."""
         return self._reader.pending
 
-    async def read_line(self, heard: Callable[[], None] | None = None) -> bytes:
-        """The next line with its end; what came before an end without one is a line too.
+    async def read_line(self, on_activity: Callable[[], None] | None = None) -> bytes:
+        """Return the next line with its end, or the bytes before a FIN as the last line.
 
-        `heard` is called at each piece of it.
+        `on_activity` is called at each chunk. Raises PeerClosed or ConnectionBroken.
         """
         while (line := self._reader.next()) is None:
             try:
                 self._reader.feed(await self._stream.read())
-                if heard is not None:
-                    heard()
+                if on_activity is not None:
+                    on_activity()
             except PeerClosed:
-                rest = self._reader.rest()
-                if not rest:
+                partial_line = self._reader.partial_line()
+                if not partial_line:
                     raise
-                return rest
-        self._taken += 1
-        if self._taken % LINES_TURN == 0:
-            # Guards the others against a peer that writes thousands of lines at once.
+                return partial_line
+        self._lines_read += 1
+        if self._lines_read % MAX_LINES_PER_TURN == 0:
+            # Prevents a peer that writes thousands of lines at once from starving other tasks.
             await checkpoint()
         return line
 
-    async def begun(self, heard: Callable[[], None]) -> None:
-        """Wait until the next line has begun; `heard` is called when it has."""
+    async def wait_for_data(self, on_activity: Callable[[], None]) -> None:
+        """Wait for the first byte of the next line; `on_activity` is called when it is read."""
         if not self._reader.pending:
             self._reader.feed(await self._stream.read())
-            heard()
+            on_activity()
 
-    def has_begun(self) -> bool:
-        """Whether any of the next line has arrived, though nobody may have read it yet."""
+    def has_data(self) -> bool:
+        """Whether any byte of the next line has arrived, read or not."""
         if not self._reader.pending:
-            self._reader.feed(self._stream.read_ready())
+            self._reader.feed(self._stream.read_available())
         return self._reader.pending
 
-    def ready_line(self) -> bytes | None:
-        """A line that has arrived whole though nobody has read it yet."""
-        self._reader.feed(self._stream.read_ready())
+    def read_available_line(self) -> bytes | None:
+        """Return the next line if all of it has arrived, without waiting; otherwise None."""
+        self._reader.feed(self._stream.read_available())
         return self._reader.next()
 
     async def has_left(self) -> bool:
-        return await self._stream.ended()
+        """Whether the peer has closed or reset its connection."""
+        return await self._stream.peer_closed()
 
     async def receive(self) -> Message:
+        """Return the next message; raises PeerClosed or ConnectionBroken."""
         return codec.decode_message(await self.read_line())
 
     async def send(self, message: Message) -> None:
+        """Write a message; raises ConnectionBroken."""
         await self._stream.write(codec.encode_message(message))
 
     async def answer(self, answer: Up | Busy | Failed) -> None:
+        """Write the answer to the opening; after any but Up, `end` is to follow."""
         data = codec.encode_answer(answer)
         await (self._stream.write(data) if isinstance(answer, Up) else self._stream.finish(data))
 
     async def move(self) -> None:
+        """Write MOVE, which tells the client to connect again."""
         await self._stream.write(codec.MOVE)
 
     async def end_sending(self) -> None:
+        """Send FIN."""
         await self._stream.end_sending()
 
     async def end(self) -> None:
+        """Close after a linger."""
         await self._stream.end()
 
     async def abort(self) -> None:
+        """Close with RST."""
         self._stream.abort()
--- a/puffinford/fronts/lines/server.py
+++ b/puffinford/fronts/lines/server.py
@@ -1,4 +1,4 @@
-"""The server side of the line front: each attempt is a connection of its own."""
+"""Server side of the line front: each attempt opens a TCP connection."""
 
 from __future__ import annotations
 
@@ -9,11 +9,13 @@
 from puffinford.fronts.connecting import connect
 from puffinford.fronts.lines import codec
 from puffinford.fronts.lines.connection import LineConnection
-from puffinford.fronts.sockets import DescriptorBudget, OwnLack, TcpStream
+from puffinford.fronts.sockets import DescriptorBudget, LocalShortage, TcpStream
 from puffinford.interface import Result
 
 
 class LineServerConnector:
+    """Opens connections to servers and probes them; `connect_timeout` is in ms."""
+
     def __init__(self, clock: Clock, budget: DescriptorBudget, connect_timeout: float) -> None:
         self._clock = clock
         self._budget = budget
@@ -24,8 +26,8 @@
         try:
             with self._clock.limit(min(wait, self.connect_timeout)):
                 stream = await connect((entry.host, entry.port), self._clock, self._budget)
-        except OwnLack:
-            # Guards a sound server against being taken for unreachable when we lack descriptors.
+        except LocalShortage:
+            # A local shortage must not mark the server unreachable.
             raise AttemptEnded(Result.NOT_SENT) from None
         if stream is None:
             raise AttemptEnded(Result.CONNECT_FAILED)
@@ -39,39 +41,41 @@
         admit: Callable[[], Awaitable[None]],
         sent: Callable[[], None],
     ) -> tuple[LineConnection, Up]:
-        started = self._clock.now()
+        """Send an opening within `wait` ms; see `ServerConnector`."""
+        started_at = self._clock.now()
         stream = await self._connect(entry, wait)
         connection = LineConnection(stream)
         answer: Up | Result = Result.TIMEOUT
         line, report = b"", ""
-        standing = False
+        established = False
         try:
             await admit()
-            left = wait - (self._clock.now() - started)
-            if left <= 0:
+            remaining_ms = wait - (self._clock.now() - started_at)
+            if remaining_ms <= 0:
                 raise AttemptEnded(Result.CONNECT_FAILED)
             try:
-                await stream.write(codec.encode_opening(opening, left))
+                await stream.write(codec.encode_opening(opening, remaining_ms))
             except ConnectionBroken:
                 raise AttemptEnded(Result.CONNECT_FAILED) from None
             sent()
-            with self._clock.limit(left):
+            with self._clock.limit(remaining_ms):
                 try:
                     line = await connection.read_line()
                     answer, report = codec.decode_answer(line)
                 except (PeerClosed, ConnectionBroken):
                     answer = Result.RESET
             if isinstance(answer, Up):
-                standing = True
+                established = True
                 return connection, answer
             messages = (codec.decode_message(line),) if answer is Result.OK else ()
             raise AttemptEnded(answer, messages, report)
         finally:
-            # Guards against a second attempt beside one given up: its connection is closed first.
-            if not standing:
+            # Prevents two attempts at a time: this connection is closed before the next attempt starts.
+            if not established:
                 stream.close()
 
     async def probe(self, entry: ServerEntry, wait: float, load: bool) -> tuple[Result, str]:
+        """Send PING, or STATS for a load report; return the result and the report within `wait` ms."""
         try:
             stream = await self._connect(entry, wait)
         except AttemptEnded as exc:
@@ -79,8 +83,8 @@
         result, report = Result.TIMEOUT, ""
         try:
             with self._clock.limit(wait):
-                await stream.write((codec.STATS if load else codec.PING).encode() + codec.END)
-                result, report = codec.decode_probe(await LineConnection(stream).read_line())
+                await stream.write((codec.STATS if load else codec.PING).encode() + codec.LINE_END)
+                result, report = codec.decode_probe_answer(await LineConnection(stream).read_line())
         except (PeerClosed, ConnectionBroken):
             result = Result.RESET
         finally:
--- a/puffinford/fronts/sockets.py
+++ b/puffinford/fronts/sockets.py
@@ -1,9 +1,8 @@
-"""What both fronts do with TCP connections, and the bounds on what a peer can make them hold.
+"""TCP streams and lines for both fronts, and the limits on the bytes and descriptors that a peer can hold.
 
-Each bound stands here once. Bytes: a connection is read in pieces of READ_MOST, never ahead of what takes
-them. Unread input: an ended connection is read on for at most LINGER and LINGER_BYTES, and at most one of
-LINGER_PART of the descriptors is in that state. Descriptors: `DescriptorBudget`. Silent ones: see
-`accepting`.
+Input is read in chunks of READ_CHUNK_BYTES, and only when a reader asks for it. A closed connection lingers
+for at most LINGER_TIMEOUT_MS and MAX_LINGER_BYTES, and about 1/LINGER_DIVISOR of the descriptors may
+linger. `DescriptorBudget` limits descriptors; `accepting` evicts idle connections.
 """
 
 from __future__ import annotations
@@ -26,132 +25,137 @@
 from puffinford.core.transient_errors import RETRY_PAUSES_MS, TRANSIENT_ERRNOS
 from puffinford.core.values import ConnectionBroken, PeerClosed
 
-LINE_MOST = 4096  # bytes of a line, its end included
-LINES_TURN = 32  # lines of one connection passed on before others have their turn
-READ_MOST = 16_384  # bytes taken from a connection at a time
-LINGER = 800.0  # how long an ended connection waits for its peer's end; the rules allow 1 s
-LINGER_BYTES = 2 << 20  # what it reads meanwhile; bad clients send a million bytes at once
-LINGER_READ = 65_536  # at a time
-LINGER_PART = 16  # such connections may hold this part of the descriptors, one of sixteen ...
-LINGER_LEAST = 8  # ... or so many; and they give way to newcomers first
-LAST_MOST = 500.0  # for a peer to take the last piece of a connection ...
-LAST_LEAST = 20.0  # ... and the least, however little is left before the process closes it
-CATCH_UP = 4  # turns of the loop in which what has arrived is read, before a peer counts as still there
-RESERVED_DESCRIPTORS = (
-    32  # descriptors for discovery, the listeners, the program's own files and a turn of accepting
-)
-MAX_MGMT_DESCRIPTORS = 16  # descriptors that callers of the second address may hold; no client ever gets them
-MGMT_ACCEPTS_PER_TURN = 4  # of its callers accepted at a time, and held beyond those while the quietest go
-
-
-class OwnLack(Exception):
-    """This machine, not the other, lacks what a connection needs."""
+MAX_LINE_BYTES = 4096  # including the line end
+MAX_LINES_PER_TURN = 32  # lines read from one connection before other tasks run
+READ_CHUNK_BYTES = 16_384
+LINGER_TIMEOUT_MS = 800.0  # for the peer to close its side; the protocol allows 1 s
+MAX_LINGER_BYTES = 2 << 20  # read and discarded while lingering
+LINGER_CHUNK_BYTES = 65_536
+LINGER_DIVISOR = 16  # lingering connections may hold 1/16 of the descriptors ...
+MIN_LINGERING = 8  # ... and at least 8 may linger
+FINAL_WRITE_TIMEOUT_MS = 500.0  # for a peer to read the last message of a connection
+MIN_CLOSE_TIMEOUT_MS = 20.0  # lower bound of these timeouts during shutdown
+CLOSE_CHECK_TURNS = 4  # turns of the event loop for readers to consume input that precedes a FIN
+# For discovery, the listeners, the process's own files and one turn of accepting.
+RESERVED_DESCRIPTORS = 32
+MAX_MGMT_DESCRIPTORS = 16  # for callers of the management address only
+MGMT_ACCEPTS_PER_TURN = 4  # also the callers held over MAX_MGMT_DESCRIPTORS until idle ones are evicted
+
+
+class LocalShortage(Exception):
+    """This host, not the peer, is short of a resource for a connection; `errno` names it."""
 
     def __init__(self, error: int) -> None:
         super().__init__(errno.errorcode.get(error, str(error)))
         self.errno = error
 
 
-def raise_descriptor_limit(told: int) -> int:
-    """How many descriptors this process may hold: as told, or fewer where the system gives fewer.
+def raise_descriptor_limit(configured: int) -> int:
+    """Raise RLIMIT_NOFILE to `configured` if it is lower; return how many descriptors may be open.
 
-    Guards all that is kept for other things than clients against a limit that no budget knows of.
+    Prevents a system limit below the configured one from using up the reserved descriptors.
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if resource.RLIM_INFINITY != soft < told:
-        wanted = told if hard == resource.RLIM_INFINITY else min(told, hard)
+    if resource.RLIM_INFINITY != soft < configured:
+        raised = configured if hard == resource.RLIM_INFINITY else min(configured, hard)
         with contextlib.suppress(OSError, ValueError):
-            resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
-            soft = wanted
-    return told if soft == resource.RLIM_INFINITY else min(told, soft)
+            resource.setrlimit(resource.RLIMIT_NOFILE, (raised, hard))
+            soft = raised
+    return configured if soft == resource.RLIM_INFINITY else min(configured, soft)
 
 
 class DescriptorBudget:
-    """A count of the sockets that are open, against a limit of which a part is kept for other things."""
+    """Counts open sockets against a limit on descriptors, of which `reserve` are for other uses."""
 
     def __init__(self, limit: int = 1024, reserve: int = RESERVED_DESCRIPTORS) -> None:
         self.limit = limit
         self.reserve = reserve
         self.used = 0
-        self._lingering: dict[anyio.CancelScope, None] = {}  # the one that has been at it longest first
-        self.close_at = float("inf")  # on the clock, in ms: no connection is waited for any longer
+        self._lingering: dict[anyio.CancelScope, None] = {}  # the oldest first
+        self.close_at = float("inf")  # clock time in ms at which the process closes its connections
         self.used_elsewhere: Callable[[], int] = int  # descriptors of another version, under the same limit
-        self.on_change: Callable[[], object] = int  # hears of each socket made or closed
+        self.on_change: Callable[[], object] = int  # called when a socket is opened or closed
 
-    def take(self) -> None:
+    def acquire(self) -> None:
         self.used += 1
         self.on_change()
 
-    def give(self) -> None:
+    def release(self) -> None:
         self.used -= 1
         self.on_change()
 
     @property
-    def full(self) -> bool:
-        """Whether one more client and its server would not fit."""
+    def is_full(self) -> bool:
+        """Whether descriptors are missing for one more client and its server."""
         return self.used + self.used_elsewhere() + 2 > self.limit - self.reserve
 
     @contextmanager
     def linger(self, scope: anyio.CancelScope) -> Iterator[None]:
-        """A lingering close; `scope` is cancelled where its place is needed."""
+        """Register a lingering close; `scope` is cancelled when its descriptor is needed."""
         self._lingering[scope] = None
-        if not self.closing:  # else no newcomer needs the place
-            self.spare(max(0, self.lingering - max(LINGER_LEAST, self.limit // LINGER_PART)))
+        if not self.shutting_down:  # no new connections need the descriptors
+            self.cut_lingering(
+                max(0, self.lingering_count - max(MIN_LINGERING, self.limit // LINGER_DIVISOR))
+            )
         try:
             yield
         finally:
             self._lingering.pop(scope, None)
 
     @property
-    def closing(self) -> bool:
-        """Whether the process is to end, at `close_at`."""
+    def shutting_down(self) -> bool:
+        """Whether the process closes its connections at `close_at`."""
         return self.close_at != float("inf")
 
-    def patience(self, most: float, now: float) -> float:
-        """How many ms a peer may take for its part of an end: `most`, or less where the process ends."""
-        return min(most, max(LAST_LEAST, self.close_at - now))
+    def bounded_timeout(self, timeout_ms: float, now: float) -> float:
+        """Return `timeout_ms`, or less if the process closes its connections earlier."""
+        return min(timeout_ms, max(MIN_CLOSE_TIMEOUT_MS, self.close_at - now))
 
     @property
-    def lingering(self) -> int:
+    def lingering_count(self) -> int:
         return len(self._lingering)
 
-    def spare(self, count: int) -> int:
-        """Cut so many lingering closes short, the oldest first; how many there were to cut."""
-        cut = list(self._lingering)[:count]
-        for scope in cut:
+    def cut_lingering(self, count: int) -> int:
+        """Cancel up to `count` lingering closes, the oldest first; return how many were cancelled."""
+        oldest = list(self._lingering)[:count]
+        for scope in oldest:
             del self._lingering[scope]
             scope.cancel()
-        return len(cut)
+        return len(oldest)
 
 
 class TcpStream:
-    """A TCP connection: chunks in, whole pieces out, and the ways to end it."""
+    """A non-blocking TCP connection that counts against a descriptor budget.
+
+    Reads chunks, writes messages whole, and closes with FIN after a linger or with RST.
+    """
 
     def __init__(self, sock: socket.socket, clock: Clock, budget: DescriptorBudget) -> None:
         sock.setblocking(False)
-        with contextlib.suppress(OSError):  # without it small pieces are late, and no more
+        with contextlib.suppress(OSError):  # without TCP_NODELAY small writes are delayed, not lost
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._sock = sock
         self.clock = clock
         self._budget = budget
         self._lock = anyio.Lock(fast_acquire=True)
-        self._cut = b""  # the rest of a piece whose writing was cancelled
+        self._unsent = b""  # the rest of a message whose write was cancelled
         self._closed = False
-        self.ending = False  # its peer has been told all that it will be
-        budget.take()
+        self.is_closing = False  # the peer has been sent its last message
+        budget.acquire()
 
-    async def read(self, most: int = READ_MOST) -> bytes:
-        # Guards the others against a peer that sends at full speed: each piece waits its turn.
+    async def read(self, max_bytes: int = READ_CHUNK_BYTES) -> bytes:
+        """Return the next chunk; raises PeerClosed or ConnectionBroken."""
+        # Prevents a peer that sends at full speed from starving other tasks.
         await checkpoint()
-        lacks = 0
+        shortages = 0
         try:
             while True:
                 try:
-                    data = self._sock.recv(most)
+                    data = self._sock.recv(max_bytes)
                 except BlockingIOError:
                     await anyio.wait_readable(self._sock)
                 except OSError as exc:
-                    lacks = await self._wait_out(exc, lacks)
+                    shortages = await self._pause_or_raise(exc, shortages)
                 else:
                     break
         except (OSError, ValueError, anyio.ClosedResourceError) as exc:
@@ -160,30 +164,30 @@
             raise PeerClosed
         return data
 
-    async def _wait_out(self, failure: OSError, lacks: int) -> int:
-        """Pause after a call that failed for a lack of the moment; `lacks` were before it, in a row.
+    async def _pause_or_raise(self, os_error: OSError, shortages: int) -> int:
+        """Pause after a transient error, the one after `shortages` consecutive ones; return their new count.
 
-        Tells how many there are now. Raises the failure itself where it is none, or has lasted.
+        Raises `os_error` if it is not transient or there were too many.
         """
-        if failure.errno not in TRANSIENT_ERRNOS or lacks >= len(RETRY_PAUSES_MS):
-            raise failure
-        await self.clock.sleep(RETRY_PAUSES_MS[lacks])
-        return lacks + 1
+        if os_error.errno not in TRANSIENT_ERRNOS or shortages >= len(RETRY_PAUSES_MS):
+            raise os_error
+        await self.clock.sleep(RETRY_PAUSES_MS[shortages])
+        return shortages + 1
 
-    def read_ready(self) -> bytes:
-        """What has arrived and is not read yet, without waiting; empty where that is nothing or the end."""
+    def read_available(self) -> bytes:
+        """Return unread input without waiting; empty if there is none or the peer has closed."""
         try:
-            return self._sock.recv(READ_MOST)
+            return self._sock.recv(READ_CHUNK_BYTES)
         except (OSError, ValueError):
             return b""
 
-    async def ended(self) -> bool:
-        """Whether the peer's end has arrived, read or not, once what came before it has had its readers.
+    async def peer_closed(self) -> bool:
+        """Whether the peer's FIN or RST has arrived, read or not.
 
-        Guards a server against work for a client that has gone: where the loop is late, its FIN lies unread
-        behind the timer or the answer that starts the next attempt.
+        Gives readers some turns to consume input that precedes it. Prevents an attempt for a client that has
+        left, whose FIN is unread because the event loop is late.
         """
-        for _ in range(CATCH_UP):
+        for _ in range(CLOSE_CHECK_TURNS):
             try:
                 if not self._sock.recv(1, socket.MSG_PEEK):
                     return True
@@ -197,66 +201,69 @@
         return False
 
     async def write(self, data: bytes) -> None:
-        """Write a piece whole, never within another.
+        """Write a message whole; raises ConnectionBroken.
 
-        Guards against half a line followed by another, and against a peer that is told nothing because it
-        was a piece behind: the rest of a piece that was cancelled goes before the next.
+        Prevents interleaved messages: the rest of a message whose write was cancelled goes before the next.
         """
         try:
             async with self._lock:
-                rest = memoryview(self._cut + data)
-                lacks = 0
+                remaining = memoryview(self._unsent + data)
+                shortages = 0
                 try:
-                    while rest:
+                    while remaining:
                         try:
-                            rest = rest[self._sock.send(rest) :]
+                            remaining = remaining[self._sock.send(remaining) :]
                         except BlockingIOError:
                             await anyio.wait_writable(self._sock)
                         except OSError as exc:
-                            lacks = await self._wait_out(exc, lacks)
+                            shortages = await self._pause_or_raise(exc, shortages)
                 finally:
-                    self._cut = bytes(rest)
+                    self._unsent = bytes(remaining)
         except (OSError, ValueError, anyio.ClosedResourceError) as exc:
             raise ConnectionBroken(str(exc)) from None
 
     async def end_sending(self) -> None:
+        """Send FIN; raises ConnectionBroken."""
         try:
             self._sock.shutdown(socket.SHUT_WR)
         except OSError as exc:
             raise ConnectionBroken(str(exc)) from None
 
     async def end(self) -> None:
-        """Lingering close: FIN, read on for a moment until the peer's, close.
+        """Send FIN, read until the peer's FIN within limits, and close.
 
-        Guards against the RST that a close over unread bytes sends: it would overtake the last line. Bounded
-        in time, in bytes and, over all connections, in number.
+        Prevents the RST that closing with unread input sends, which may discard the last message at the peer.
         """
-        self.ending = True
+        self.is_closing = True
         try:
-            held = contextlib.suppress(PeerClosed, ConnectionBroken)
-            patience = self._budget.patience(LINGER, self.clock.now())
-            with self.clock.limit(patience) as scope, self._budget.linger(scope), held:
+            suppressed = contextlib.suppress(PeerClosed, ConnectionBroken)
+            timeout_ms = self._budget.bounded_timeout(LINGER_TIMEOUT_MS, self.clock.now())
+            with self.clock.limit(timeout_ms) as scope, self._budget.linger(scope), suppressed:
                 await self.end_sending()
-                left = LINGER_BYTES
-                while left > 0:
-                    left -= len(await self.read(LINGER_READ))
+                remaining_bytes = MAX_LINGER_BYTES
+                while remaining_bytes > 0:
+                    remaining_bytes -= len(await self.read(LINGER_CHUNK_BYTES))
         finally:
-            self.read_ready()  # guards the last answer against what came since: unread it would reset
+            self.read_available()  # input that arrived since would cause a RST
             self.close()
 
     async def finish(self, data: bytes) -> None:
-        """Write the last piece, which a peer has LAST_MOST to take, before `end`; raises Broken."""
-        taken = False
-        with self.clock.limit(self._budget.patience(LAST_MOST, self.clock.now())):
+        """Write the last message within FINAL_WRITE_TIMEOUT_MS, to be followed by `end`.
+
+        Raises ConnectionBroken.
+        """
+        written = False
+        with self.clock.limit(self._budget.bounded_timeout(FINAL_WRITE_TIMEOUT_MS, self.clock.now())):
             await self.write(data)
-            taken = True
-        if not taken:
-            raise ConnectionBroken("the last piece was not taken")
+            written = True
+        if not written:
+            raise ConnectionBroken("last message was not written in time")
 
     def close(self) -> None:
+        """Close at once and release the descriptor."""
         if not self._closed:
             self._closed = True
-            self._budget.give()
+            self._budget.release()
             anyio.notify_closing(self._sock)
             self._sock.close()
 
@@ -269,34 +276,35 @@
 
 
 class LineReader:
-    """Cuts a stream of bytes into lines with their ends; too long a line comes out in pieces."""
+    """Splits a stream of bytes into lines with their ends; a line over MAX_LINE_BYTES comes in pieces."""
 
     def __init__(self) -> None:
         self._lines: deque[bytes] = deque()
-        self._rest = b""
+        self._partial_line = b""
 
     def feed(self, chunk: bytes) -> None:
-        *whole, self._rest = (self._rest + chunk).split(b"\n")
-        self._lines.extend(line + b"\n" for line in whole)
-        if len(self._rest) >= LINE_MOST:
-            self._lines.append(self._rest)
-            self._rest = b""
+        *complete, self._partial_line = (self._partial_line + chunk).split(b"\n")
+        self._lines.extend(line + b"\n" for line in complete)
+        if len(self._partial_line) >= MAX_LINE_BYTES:
+            self._lines.append(self._partial_line)
+            self._partial_line = b""
 
     def next(self) -> bytes | None:
+        """Return the next line, or None if no line is complete."""
         return self._lines.popleft() if self._lines else None
 
     @property
     def pending(self) -> bool:
-        """Whether bytes are held that no line has taken."""
-        return bool(self._lines or self._rest)
+        """Whether any fed bytes have not been returned."""
+        return bool(self._lines or self._partial_line)
 
-    def rest(self) -> bytes:
-        """What came after the last line end; once, when the stream has ended."""
-        rest, self._rest = self._rest, b""
-        return rest
+    def partial_line(self) -> bytes:
+        """Remove and return the bytes after the last line end, for the end of the stream."""
+        partial_line, self._partial_line = self._partial_line, b""
+        return partial_line
 
 
 def socket_address(host: str, port: int) -> tuple[socket.AddressFamily, tuple[str, int]]:
-    """The family and address that the system's calls want."""
-    six = ipaddress.ip_address(host).version == 6
-    return (socket.AF_INET6 if six else socket.AF_INET), (host, port)
+    """Return the address family and socket address of a literal IP address."""
+    is_ipv6 = ipaddress.ip_address(host).version == 6
+    return (socket.AF_INET6 if is_ipv6 else socket.AF_INET), (host, port)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""Stories of bad clients: what they are told, and what they can make the balancer hold."""
+"""Misbehaving peers: the answers they get, and the limits on what they can make the balancer hold."""
 
 from __future__ import annotations
 
@@ -10,12 +10,16 @@
 import anyio
 import pytest
 
-from puffinford.fronts.accepting import TURNED_AWAY, TURNED_FOR, ConnectionTracker
+from puffinford.fronts.accepting import (
+    MAX_CONCURRENT_REJECTIONS,
+    REJECTION_READ_TIMEOUT_MS,
+    ConnectionTracker,
+)
 from puffinford.fronts.channels import codec, multiplexer
 from puffinford.fronts.connecting import connect
-from puffinford.fronts.lines.client import PINGS_IDLE
+from puffinford.fronts.lines.client import PING_IDLE_TIMEOUT_MS
 from puffinford.fronts.lines.connection import LineConnection
-from puffinford.fronts.sockets import LINGER, DescriptorBudget
+from puffinford.fronts.sockets import LINGER_TIMEOUT_MS, DescriptorBudget
 from puffinford.logs import RateLimitedLog
 from tests.harness import ChannelPeer, Peer, answering, echo, harness, opening
 
@@ -26,9 +30,9 @@
 
 
 @pytest.mark.parametrize(
-    "said",
+    "payload",
     [
-        b"x" * 60_000_000,  # a line with no end, and one of 60 MB
+        b"x" * 60_000_000,  # 60 MB without a line end
         b"OPEN 0a 7f3a c=price-lookup,d=2000,h=" + b"9" * 5_000 + b"\r\n",
         b"OPEN 0a 7f3a c=price-lookup,d=-5\r\n",
         b"OPEN 0a 7f3a c=price-lookup,d=1e3\r\n",
@@ -42,17 +46,18 @@
         GOOD + b"\r\n\xff",
         b"PING\r\n" * 300,
     ],
-    ids=lambda said: repr(said[:48]),
+    ids=lambda payload: repr(payload[:48]),
 )
-async def test_what_cannot_be_read_is_told_so_and_holds_nothing(said: bytes) -> None:
-    """The client neither ends nor stops sending: it has its answer though the clock never moves, and holds a
-    descriptor for one lingering close and no longer. A close at once let the reset eat the answer.
+async def test_an_unreadable_request_is_answered_and_holds_nothing(payload: bytes) -> None:
+    """A client that goes on sending is answered at once, and holds a descriptor until the linger times out.
+
+    Closing without a linger sent a RST that discarded the answer.
     """
-    came = 0
+    connections = 0
 
     async def server(peer: Peer) -> None:
-        nonlocal came
-        came += 1
+        nonlocal connections
+        connections += 1
 
     async with harness() as here:
         await here.server("s-1", server)
@@ -60,20 +65,20 @@
         async with anyio.create_task_group() as sending:
 
             async def send() -> None:
-                with pytest.raises(anyio.BrokenResourceError) if len(said) > 10_000_000 else Quiet():
-                    await bad.stream.send(said)
+                with pytest.raises(anyio.BrokenResourceError) if len(payload) > 10_000_000 else Quiet():
+                    await bad.stream.send(payload)
 
             sending.start_soon(send)
-            assert (await bad.line())[:4] == b"ERR ", "the answer, whatever is unread"
+            assert (await bad.line())[:4] == b"ERR ", "answered in spite of unread input"
             while await bad.line() not in (b"FIN", b"RST"):
                 pass
-            here.clock.advance(LINGER)
+            here.clock.advance(LINGER_TIMEOUT_MS)
             await here.settle()
-        assert here.tracker.budget.used == 0 and came == 0
+        assert here.tracker.budget.used == 0 and connections == 0
 
 
 class Quiet:
-    """Lets a send to a connection that is over fail or not."""
+    """Suppresses the failure of a send to a closed connection."""
 
     def __enter__(self) -> None: ...
 
@@ -81,26 +86,26 @@
         return isinstance(exc, anyio.BrokenResourceError)
 
 
-async def test_a_line_before_up_ends_the_job_and_its_claim() -> None:
+async def test_a_line_before_up_ends_the_request_and_its_attempt() -> None:
     async def server(peer: Peer) -> None:
         await peer.line()
-        asked.set()
-        assert await peer.line() in (b"FIN", b"RST"), "given up, and nothing else reached it"
-        over.set()
+        opening_received.set()
+        assert await peer.line() in (b"FIN", b"RST"), "closed, and no other line sent"
+        finished.set()
 
-    asked, over = anyio.Event(), anyio.Event()
+    opening_received, finished = anyio.Event(), anyio.Event()
     async with harness() as here:
         await here.server("s-1", server)
         client = await here.client(GOOD)
-        await asked.wait()
+        await opening_received.wait()
         await client.send_line(opening("0b"))
         assert await client.line() == b"ERR a line before UP\r\n"
-        await over.wait()
+        await finished.wait()
         assert here.exchange._balancer._load == 0.0
 
 
 async def test_a_request_that_every_server_answers_err_makes_no_server_unreachable() -> None:
-    """The id of another balancer's open request is in use everywhere; four of five servers were left out."""
+    """An id in use at another balancer is refused everywhere, which marked most servers unreachable."""
     async with harness() as here:
         for ident in ("s-1", "s-2", "s-3"):
             await here.server(ident, answering(b"ERR in use"))
@@ -117,25 +122,25 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "answer"),
+    ("payload", "answer"),
     [
-        (b"UP", b"BUSY"),  # half a line, and rests
-        (None, b"BUSY"),  # a byte now and then, for ever
-        (b"x" * 65_536, b"BUSY"),  # no end
+        (b"UP", b"BUSY"),  # an incomplete line
+        (None, b"BUSY"),  # one byte at a time, without end
+        (b"x" * 65_536, b"BUSY"),  # no line end
         (b"M 1\r\nUP r1\r\n", b"BUSY"),  # data before UP
-        (b"UP r1\r\nUP r2\r\n", b"UP r1"),  # goes on as it came: the second is a line of the connection
+        (b"UP r1\r\nUP r2\r\n", b"UP r1"),  # passed on: the second is a line of the connection
     ],
     ids=["half a line", "dripping", "no end", "data before UP", "UP twice"],
 )
 async def test_a_server_that_answers_amiss_costs_its_client_no_more_than_its_time(
-    said: bytes | None, answer: bytes
+    payload: bytes | None, answer: bytes
 ) -> None:
     async def script(peer: Peer) -> None:
         await peer.line()
-        if said is None:
+        if payload is None:
             return await drip(peer)
         with contextlib.suppress(anyio.BrokenResourceError):
-            await peer.stream.send(said)
+            await peer.stream.send(payload)
             await peer.line()
 
     async with harness() as here:
@@ -145,7 +150,7 @@
         client = await here.client(GOOD)
         here.tasks.start_soon(here.run_clock)
         assert (await client.line()).startswith(answer)
-        assert here.clock.now() - start <= 2_000.0 + 200.0, "its deadline, and a step of the clock"
+        assert here.clock.now() - start <= 2_000.0 + 200.0, "the request's deadline and a step of the clock"
         if answer == b"BUSY":
             assert await client.line() == b"FIN"
             await client.fin()
@@ -155,7 +160,7 @@
 
 @pytest.mark.parametrize("front", ["lines", "channels"])
 async def test_silent_connections_give_way_to_those_that_ask(front: str) -> None:
-    """Hundreds that said nothing held every descriptor, and nobody was served from then on."""
+    """Silent connections held every descriptor, and no client was served."""
     async with harness() as here:
         here.tracker.budget.limit = 96
         await here.server("s-1", echo)
@@ -177,7 +182,7 @@
 
 
 async def test_crowds_that_stop_half_way_do_not_displace_a_client_that_writes_slowly() -> None:
-    """A first line in pieces over 2 s was cut off, and the door let go of those that had come first."""
+    """The oldest connections were evicted, and with them a client whose line came in pieces over 2 s."""
     async with harness() as here:
         here.tracker.budget.limit = 96
         await here.server("s-1", echo)
@@ -199,8 +204,8 @@
 
 @pytest.mark.parametrize("front", ["lines", "channels"])
 async def test_a_request_begun_on_a_resting_connection_is_ended_within_three_seconds(front: str) -> None:
-    """The 10 s of a resting connection covered the half of a request that came on it."""
-    for rested, trickle in ((100.0, False), (100.0, True), (PINGS_IDLE - 100.0, True)):
+    """Part of a request was given the idle timeout of 10 s."""
+    for rested, trickle in ((100.0, False), (100.0, True), (PING_IDLE_TIMEOUT_MS - 100.0, True)):
         async with harness() as here:
             if front == "lines":
                 line = await here.client(b"PING")
@@ -227,7 +232,7 @@
 
 
 async def test_thousands_of_lines_in_one_piece_leave_the_others_their_turn() -> None:
-    """All of a piece was passed on before anybody else came to be served."""
+    """All lines of a chunk were passed on before other tasks ran."""
 
     class Flood:
         async def read(self) -> bytes:
@@ -251,7 +256,7 @@
 
 
 async def test_with_all_descriptors_in_use_newcomers_are_turned_away_and_the_others_go_on() -> None:
-    """They were closed at once, their request unread: a reset, and no word of when to come again."""
+    """They were closed with their request unread: a RST instead of a retry-after."""
     async with harness() as here:
         here.tracker.budget.limit = 32 + 7
         await here.server("s-1", echo)
@@ -264,8 +269,8 @@
         await here.settle()
         quiet = [await here.client() for _ in range(30)]
         await here.settle()
-        assert here.tracker.budget.used <= 6 + TURNED_AWAY, "the reserve holds a few, and no more"
-        here.clock.advance(TURNED_FOR)
+        assert here.tracker.budget.used <= 6 + MAX_CONCURRENT_REJECTIONS, "only a few use the reserve"
+        here.clock.advance(REJECTION_READ_TIMEOUT_MS)
         for peer in quiet:
             assert await peer.line() in (b"FIN", b"RST")
         await clients[0].send_line(b"on")
@@ -273,9 +278,11 @@
         assert here.tracker.budget.used == 6
 
 
-async def test_our_own_lack_of_descriptors_is_no_fault_of_the_server(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_local_shortage_of_descriptors_is_no_fault_of_the_server(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     class Short(socket.socket):
-        def __init__(self, *given: object, **named: object) -> None:
+        def __init__(self, *arguments: object, **named: object) -> None:
             raise OSError(errno.EMFILE, "Too many open files")
 
     async with harness() as here:
@@ -291,7 +298,9 @@
 async def test_a_channel_peer_that_asks_faster_than_it_is_answered_is_ended(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(multiplexer, "CONTROL_MOST", 100)  # the kernel's buffers take what a thousand need
+    monkeypatch.setattr(
+        multiplexer, "MAX_QUEUED_MESSAGES", 100
+    )  # the kernel's buffers would hold the default
     async with harness() as here:
         client = await here.channel_client()
         asks = codec.encode(codec.GlobalRequest("what", True)) * 200
@@ -306,8 +315,8 @@
     async with harness() as here:
         client: ChannelPeer = await here.channel_client()
         here.tasks.start_soon(here.run_clock)
-        gone = await client.next()
-        assert isinstance(gone, codec.Disconnect) and gone.reason == codec.BY_APPLICATION
+        disconnect = await client.next()
+        assert isinstance(disconnect, codec.Disconnect) and disconnect.reason == codec.BY_APPLICATION
 
 
 def test_what_peers_can_cause_at_will_is_logged_seldom(caplog: pytest.LogCaptureFixture) -> None:
@@ -322,7 +331,7 @@
     assert vars(caplog.records[-1])["skipped"] == 90
 
 
-def test_the_door_keeps_its_part_of_the_descriptors() -> None:
+def test_connections_over_the_descriptor_budget_are_refused() -> None:
     tracker = ConnectionTracker(None, DescriptorBudget(40))  # type: ignore[arg-type]
     tracker.budget.used = 40
     assert not tracker.ensure_capacity()
--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -1,4 +1,4 @@
-"""Stories of the channel front, over loopback sockets, with stand-in clients and servers."""
+"""The channel front, over loopback sockets, with scripted clients and servers."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 async def test_a_line_client_is_served_by_a_channel_server() -> None:
-    """The whole path: opening, UP, lines both ways through small windows, BYE, the end."""
-    asked: list[codec.ChannelOpen] = []
+    """Opening, UP, lines both ways through small windows, a note, BYE and the close."""
+    channel_opens: list[codec.ChannelOpen] = []
 
     async def script(peer: Peer) -> None:
         server = await ChannelPeer(peer.stream).hello()
-        asked.append(await server.confirm(window=4))
-        number = asked[0].sender
+        channel_opens.append(await server.confirm(window=4))
+        number = channel_opens[0].sender
         got = b""
         while not got.endswith(b"\r\n"):
             data = await server.next()
@@ -42,7 +42,7 @@
         await here.server("s-1", script, front="channels")
         client = await here.client(opening(figures=b"c=price-lookup,t=a,d=2000,g=5c,again=1,x"))
         assert await client.line() == b"UP r2\r\n"
-        taken = decode_opening(asked[0].extra)
+        taken = decode_opening(channel_opens[0].extra)
         assert (taken.request_id, taken.key, taken.cls) == ("0a", "7f3a", "price-lookup")
         assert (taken.tenant, taken.group) == ("a", "5c")
         assert taken.wait == 1_000 and taken.came_back and ("x", None) in taken.parameters
@@ -79,8 +79,8 @@
 
 
 async def test_a_server_that_dies_with_forty_channels_open() -> None:
-    """Twenty stand and twenty wait. Each channel gets one answer; only what may run twice is retried."""
-    come = anyio.Event()
+    """Each of 20 open and 20 unanswered channels gets one answer; only idempotent requests are retried."""
+    all_opened = anyio.Event()
     die = anyio.Event()
     opens: list[int] = []
 
@@ -92,7 +92,7 @@
             message = await server.next()
             assert isinstance(message, codec.ChannelOpen)
             opens.append(message.sender)
-        come.set()
+        all_opened.set()
         await die.wait()
         await peer.rst()
 
@@ -104,7 +104,7 @@
             assert isinstance(await client.next(), codec.OpenConfirmation)
         await open_all(here, client, range(20, 30), "price-lookup")
         await open_all(here, client, range(30, 40), "payment")
-        await come.wait()
+        await all_opened.wait()
         assert len(opens) == len(set(opens)) == 40
         await here.server("s-2", echo)
         die.set()
@@ -122,7 +122,7 @@
 
 
 async def test_a_drain_that_arrives_while_a_channel_is_half_written() -> None:
-    """The line is finished before MOVE, however late the client makes room for it."""
+    """The line is sent whole before MOVE, however late the client opens its window."""
     async with harness() as here:
         await here.server("s-1", answering(b"UP r1", b"0123456789", stay=True))
         client = await here.channel_client()
@@ -156,19 +156,19 @@
 
 
 async def test_a_deadline_closes_the_channel_on_both_sides() -> None:
-    """The server is told before the next attempt; an answer that comes late is closed; one final answer."""
-    told: list[object] = []
-    over = anyio.Event()
+    """The open is cancelled before the next attempt, and a channel that is confirmed late is closed."""
+    received: list[object] = []
+    finished = anyio.Event()
 
     async def script(peer: Peer) -> None:
         server = await ChannelPeer(peer.stream).hello()
         message = await server.next()
         assert isinstance(message, codec.ChannelOpen)
         here.clock.advance(2_000.0)
-        told.append(await server.next())
+        received.append(await server.next())
         await server.send_messages(codec.OpenConfirmation(message.sender, 5, 100, 100, codec.string("late")))
-        told.append(await server.next())
-        over.set()
+        received.append(await server.next())
+        finished.set()
 
     async with harness() as here:
         await here.server("s-1", script, front="channels")
@@ -176,9 +176,9 @@
         await client.open(1, "0d")
         answer = await client.next()
         assert isinstance(answer, codec.OpenFailure) and answer.reason == codec.RESOURCE_SHORTAGE
-        await over.wait()
-        assert isinstance(told[0], codec.GlobalRequest) and told[0].name == codec.CANCEL
-        assert told[1] == codec.Close(5)
+        await finished.wait()
+        assert isinstance(received[0], codec.GlobalRequest) and received[0].name == codec.CANCEL
+        assert received[1] == codec.Close(5)
 
 
 @pytest.mark.parametrize(
@@ -193,7 +193,7 @@
     ],
 )
 async def test_open_failures_become_outcomes(reason: int, word: bytes) -> None:
-    """For a class that may not run twice only proof that it never ran ends in a retry-after."""
+    """A request that may not run twice gets a retry-after only if it provably never ran."""
 
     async def script(peer: Peer) -> None:
         server = await ChannelPeer(peer.stream).hello()
@@ -272,7 +272,7 @@
 
 
 def raw(number: int, rest: bytes = b"") -> bytes:
-    return codec.packet(bytes((number,)) + rest)
+    return codec.encode_packet(bytes((number,)) + rest)
 
 
 @pytest.mark.parametrize(
@@ -290,7 +290,7 @@
         (raw(20), codec.KEY_EXCHANGE_FAILED, "no key exchange"),
     ],
 )
-async def test_what_breaks_the_rules_is_disconnected_and_each_open_job_answered_once(
+async def test_what_breaks_the_rules_is_disconnected_and_each_open_request_answered_once(
     bad: bytes, reason: int, why: str
 ) -> None:
     async def script(peer: Peer) -> None:
@@ -319,7 +319,7 @@
 
 
 async def test_a_window_overrun_is_disconnected() -> None:
-    """The server makes no room, so nothing is taken past the first piece and no window is given back."""
+    """The server's window is 0, so only one piece is read and the client's window is not replenished."""
 
     async def script(peer: Peer) -> None:
         await (await ChannelPeer(peer.stream).hello()).confirm(window=0)
@@ -353,7 +353,7 @@
         assert isinstance(answer, codec.OpenFailure) and answer.reason == codec.UNKNOWN_TYPE
 
 
-async def test_a_leaving_machine_takes_no_new_channels() -> None:
+async def test_a_draining_server_takes_no_new_channels() -> None:
     async with harness(settings(drain_grace=3_000.0)) as here:
         await here.server("s-1", echo)
         here.list_server("s-1", 9, ServerState.DRAINING, front="channels")
@@ -364,19 +364,19 @@
 
 
 async def test_a_connection_that_its_server_has_forgotten_is_replaced() -> None:
-    """Each open on it went unheard, and a sound server was out of reach for as long as TCP tried on."""
-    came: list[anyio.Event] = []
+    """Opens on it had no answer, and the server was unreachable until TCP gave up."""
+    connections: list[anyio.Event] = []
 
     async def script(peer: Peer) -> None:
         server = await ChannelPeer(peer.stream).hello()
         ended = anyio.Event()
-        came.append(ended)
+        connections.append(ended)
         await server.confirm()
-        if len(came) == 1:
+        if len(connections) == 1:
             message = await server.next()
             assert isinstance(message, codec.Eof | codec.Close)
         while await server.next() not in (b"FIN", b"RST"):
-            pass  # whatever comes now is not answered
+            pass  # later opens are not answered
         ended.set()
 
     async with harness() as here:
@@ -394,12 +394,12 @@
             if answers[-1] is codec.OpenConfirmation:
                 break
             await here.clock.sleep(500.0)
-        assert answers[-1] is codec.OpenConfirmation and len(came) == 2
-        await came[0].wait()
+        assert answers[-1] is codec.OpenConfirmation and len(connections) == 2
+        await connections[0].wait()
 
 
 async def test_an_open_that_was_never_written_is_withdrawn_and_may_be_repeated() -> None:
-    """Behind a server that reads nothing it waited to be written, and came to it beside the next attempt."""
+    """Queued for a server that did not read, it reached the server during the next attempt."""
     go_on = anyio.Event()
     opened: list[str] = []
 
@@ -421,16 +421,14 @@
         first = await here.client(opening("0a"))
         assert (await first.line()).startswith(b"UP")
         here.tasks.start_soon(flood, first)
-        (multiplexer,) = here.exchange._attempts.connectors["channels"]._muxes.values()  # type: ignore[attr-defined]
+        (multiplexer,) = here.exchange._attempts.connectors["channels"]._multiplexers.values()  # type: ignore[attr-defined]
         while not multiplexer._stream._lock.locked():
             await anyio.wait_all_tasks_blocked()
         second = await here.client(opening("0b", b"c=payment,t=a,d=2000,g=5c"))
         await here.settle()
         await here.server("s-2", echo)
         here.clock.advance(1_000.0)
-        assert await second.line() == b"UP r1\r\n", (
-            "it never ran, and so may go elsewhere whatever its effect"
-        )
+        assert await second.line() == b"UP r1\r\n", "it never ran, and so may be sent to another server"
         go_on.set()
         for _ in range(20):
             await anyio.wait_all_tasks_blocked()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,7 +1,7 @@
-"""Pairs of events that meet in one turn of the loop: both orders, forced on loopback.
+"""Races between two events in one turn of the event loop, in both orders, over loopback sockets.
 
-A gate holds an attempt between its connection and its first byte, or the other event comes so many turns
-after an answer has been written. Each story ends with nothing left: see `Harness.wind_down`.
+A gate holds an attempt between its connection and its first byte, or the other event follows a server's
+answer by a number of turns. Every test checks that nothing is left: see `Harness.disconnect_and_check`.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 from puffinford.core.values import ConnectionBroken, Opening
 from puffinford.fronts.channels import codec
-from puffinford.fronts.channels.multiplexer import IDLE
+from puffinford.fronts.channels.multiplexer import IDLE_TIMEOUT_MS
 from puffinford.fronts.channels.opening import encode_opening
 from puffinford.fronts.channels.server import ChannelServerConnector
-from puffinford.fronts.lines.client import FIRST_LINE, PINGS_IDLE
+from puffinford.fronts.lines.client import FIRST_LINE_TIMEOUT_MS, PING_IDLE_TIMEOUT_MS
 from puffinford.fronts.lines.server import LineServerConnector
 from puffinford.interface import Effect, RequestClass, ServerState
 from tests.harness import ChannelPeer, Harness, Peer, discovery, echo, harness, opening, program, settings
@@ -34,7 +34,7 @@
 
 
 class Raw:
-    """A client whose every act is one system call, with no turn of the loop between two of them."""
+    """A client that makes system calls without turns of the event loop between them."""
 
     def __init__(self, port: int) -> None:
         self.sock = socket.create_connection(("127.0.0.1", port))
@@ -50,7 +50,7 @@
         self.sock.close()
 
     async def all(self) -> bytes:
-        """What comes until the end; b"RST" behind it where that is a reset."""
+        """Return all input, followed by b"RST" if the connection is reset."""
         self.sock.setblocking(False)
         seen = b""
         while True:
@@ -67,7 +67,7 @@
 
 
 def channel_hello(request_id: str, number: int = 7) -> bytes:
-    """What a channel client sends to open one."""
+    """Return a channel client's version line and open."""
     figures = (("c", "price-lookup"), ("t", "a"), ("d", "2000"), ("g", "5c"))
     extra = encode_opening(Opening.from_parameters(request_id, "7f3a", figures), 2_000.0)
     message = codec.ChannelOpen(codec.REQUEST_CHANNEL, number, 1_000, 32_768, extra)
@@ -76,7 +76,7 @@
 
 @dataclass
 class Servers:
-    """Two servers and what reached them."""
+    """Scripted servers, with their connections and openings."""
 
     connections: int = 0
     openings: list[str] = field(default_factory=list)
@@ -107,23 +107,25 @@
 
 
 class Gate:
-    """Holds each attempt once its connection is there, before the first byte."""
+    """Holds each attempt between its connection and its first byte."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.reached = anyio.Event()
         self.opened = anyio.Event()
 
-        def held(whole: Callable[..., Awaitable[object]]) -> Callable[..., Awaitable[object]]:
-            async def wait(*given: object) -> object:
-                made = await whole(*given)
+        def gated(connect: Callable[..., Awaitable[object]]) -> Callable[..., Awaitable[object]]:
+            async def wait(*arguments: object) -> object:
+                result = await connect(*arguments)
                 self.reached.set()
                 await self.opened.wait()
-                return made
+                return result
 
             return wait
 
-        monkeypatch.setattr(LineServerConnector, "_connect", held(LineServerConnector._connect))
-        monkeypatch.setattr(ChannelServerConnector, "_mux", held(ChannelServerConnector._mux))
+        monkeypatch.setattr(LineServerConnector, "_connect", gated(LineServerConnector._connect))
+        monkeypatch.setattr(
+            ChannelServerConnector, "_multiplexer", gated(ChannelServerConnector._multiplexer)
+        )
 
 
 async def turns(count: int) -> None:
@@ -154,7 +156,7 @@
 async def test_no_attempt_begins_for_a_client_that_has_gone(
     front: str, how: str, server: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its end lies unread when the attempt's connection is there: the opening went out all the same."""
+    """The opening was sent although the client's FIN had arrived, unread."""
     gate, servers = Gate(monkeypatch), Servers()
     async with harness() as here:
         await servers.list(here, server, "s-1", "s-2")
@@ -169,7 +171,7 @@
 
 @pytest.mark.parametrize("how", ["fin", "rst"])
 async def test_a_client_that_left_the_accept_queue_costs_no_server_a_connection(how: str) -> None:
-    """The process stood still while it came, asked and went."""
+    """The process was suspended while the client connected, sent its request and left."""
     servers = Servers()
     async with harness() as here:
         await servers.list(here, "lines", "s-1", "s-2")
@@ -181,11 +183,11 @@
 
 
 @pytest.mark.parametrize("server", ["lines", "channels"])
-@pytest.mark.parametrize("news", ["draining", "gone", "cordoned"])
-async def test_what_is_told_while_an_attempt_connects_holds_for_its_first_byte(
-    news: str, server: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("update", ["draining", "gone", "cordoned"])
+async def test_a_list_update_while_an_attempt_connects_holds_for_its_first_byte(
+    update: str, server: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Connections come up to 1.5 s late, and the drain grace may be 0.5 s."""
+    """A connection may take longer to establish than the drain grace lasts."""
     gate, servers = Gate(monkeypatch), Servers()
     async with harness() as here:
         await servers.list(here, server, "s-1")
@@ -193,10 +195,10 @@
         client.say(opening() + b"\r\n")
         await gate.reached.wait()
         await servers.list(here, server, "s-2")
-        if news == "cordoned":
+        if update == "cordoned":
             here.exchange.cordon(frozenset({"s-1"}))
         else:
-            state = ServerState.DRAINING if news == "draining" else ServerState.GONE
+            state = ServerState.DRAINING if update == "draining" else ServerState.GONE
             here.list_server("s-1", 1, state)
         gate.opened.set()
         while not servers.openings:
@@ -211,7 +213,7 @@
         yield listener
 
 
-def guard(here: Harness, client: Raw) -> None:
+def expire_timeouts(here: Harness, client: Raw) -> None:
     here.clock.advance(60_000.0)
 
 
@@ -243,7 +245,7 @@
     "the client's FIN": fin,
     "the client's RST": rst,
     "a line of the client": early_line,
-    "every time limit": guard,
+    "every time limit": expire_timeouts,
     "the drain's last moment": drain,
     "a list that drains the server": relist,
     "a reload": reload,
@@ -256,7 +258,7 @@
 async def test_an_answer_and_another_event_make_one_final_answer(
     other: str, after: int, answer: bytes
 ) -> None:
-    """The other event comes `after` turns of the loop behind the server's answer, or before it (-1)."""
+    """The other event follows the server's answer by `after` turns, or precedes it (-1)."""
     with listening() as listener:
         async with harness() as here:
             here.list_server("s-1", listener.getsockname()[1])
@@ -281,21 +283,21 @@
                 seen = await client.all()
                 words = [line.split(b" ")[0].strip() for line in seen.removesuffix(b"RST").splitlines()]
                 final = [word for word in words if word in (b"UP", b"BUSY", b"ERR", b"BYE")]
-                given = answer.splitlines()
-                # What a server said goes on as it is; nothing that this program made may stand beside it.
-                made = [word for word in final if word in (b"BUSY", b"ERR")]
-                assert len(made) <= 1 and not (made and len(final) > 1), seen
-                assert final or seen.endswith(b"RST") or other == "the client's FIN", (seen, given)
+                arguments = answer.splitlines()
+                # A server's answer is passed on unchanged, without an answer of the balancer's own.
+                own_answers = [word for word in final if word in (b"BUSY", b"ERR")]
+                assert len(own_answers) <= 1 and not (own_answers and len(final) > 1), seen
+                assert final or seen.endswith(b"RST") or other == "the client's FIN", (seen, arguments)
             server.close()
 
 
-@pytest.mark.parametrize("rested", [FIRST_LINE, PINGS_IDLE])
+@pytest.mark.parametrize("rested", [FIRST_LINE_TIMEOUT_MS, PING_IDLE_TIMEOUT_MS])
 async def test_a_request_that_comes_as_its_time_runs_out_is_served(rested: float) -> None:
-    """It was answered ERR for want of a line that had arrived whole."""
+    """It was answered ERR although its line had arrived."""
     async with harness() as here:
         await here.server("s-1", echo)
         client = Raw(here.port)
-        if rested == PINGS_IDLE:
+        if rested == PING_IDLE_TIMEOUT_MS:
             client.say(b"PING\r\n")
             await here.settle()
             assert client.sock.recv(100) == b"PONG\r\n"
@@ -310,13 +312,13 @@
 @pytest.mark.parametrize("size", [200, 1_000_000])
 @pytest.mark.parametrize("answer", ["ERR", "BUSY"])
 async def test_what_lies_unread_does_not_reset_the_last_answer(size: int, answer: str) -> None:
-    """A close over unread bytes resets the connection: the client's own send failed before it could read."""
+    """Closing with unread input sends a RST, which failed the client's send before it read the answer."""
     async with harness() as here:
         client = Raw(here.port)
         client.sock.setblocking(False)
         if answer == "BUSY":
             client.say(opening() + b"\r\n")
-            await anyio.wait_readable(client.sock)  # it is answered already
+            await anyio.wait_readable(client.sock)  # already answered
         left = memoryview(b"x" * size)
         while left:
             try:
@@ -325,8 +327,10 @@
                 await anyio.wait_writable(client.sock)
         seen = client.all()
         client.fin()
-        told = await seen
-        assert told.startswith(answer.encode()) and told.endswith(b"\r\n"), "the line whole, and no reset"
+        received = await seen
+        assert received.startswith(answer.encode()) and received.endswith(b"\r\n"), (
+            "the complete line, and no reset"
+        )
 
 
 @pytest.mark.parametrize("sent", [False, True])
@@ -334,13 +338,13 @@
 async def test_a_drain_refuses_only_what_may_be_tried_again(
     effect: Effect, sent: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """At the drain's end all that did not stand was told BUSY, which says that it never ran."""
+    """At the end of a drain BUSY went to requests that may have run, though it promises that they did not."""
     gate = Gate(monkeypatch)
-    asked = anyio.Event()
+    opening_received = anyio.Event()
 
     async def silent(peer: Peer) -> None:
         await peer.line()
-        asked.set()
+        opening_received.set()
         await peer.line()
 
     async with harness(
@@ -352,7 +356,7 @@
         await gate.reached.wait()
         if sent:
             gate.opened.set()
-            await asked.wait()
+            await opening_received.wait()
         here.tasks.start_soon(here.exchange.drain, 0.0, 0.0)
         await here.settle()
         answer = client.sock.recv(100)
@@ -360,7 +364,7 @@
 
 
 async def test_a_repeat_does_not_begin_after_its_window(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The servers discard repeats for so long after the first attempt; a connection may come up later."""
+    """Servers discard repeats only within the window, and a connection may be established after it."""
     gate = Gate(monkeypatch)
     openings = 0
 
@@ -368,7 +372,7 @@
         nonlocal openings
         if (await peer.line()).startswith(b"OPEN"):
             openings += 1
-            gate.reached, gate.opened = anyio.Event(), anyio.Event()  # the repeat is held
+            gate.reached, gate.opened = anyio.Event(), anyio.Event()  # holds the repeat
             await peer.rst()
 
     cls = RequestClass("payment", 2_000.0, effect=Effect.KEYED, window=800.0)
@@ -388,7 +392,7 @@
 
 
 async def test_frozen_processes_send_nothing_on_for_clients_that_left_meanwhile(tmp_path: Path) -> None:
-    """Four real processes are stopped; clients come to each, ask, and close or stay; all go on at once."""
+    """Clients connect to four suspended processes and send a request; some leave before they resume."""
     seen: list[bytes] = []
 
     async def server(stream: anyio.abc.SocketStream) -> None:
@@ -401,13 +405,13 @@
     async with harness() as here, contextlib.AsyncExitStack() as running:
         address = f"127.0.0.1:{await here.listen(server)}"
         service = await here.listen(discovery([], {"id": "s-1", "addr": address}))
-        told = {
+        config_fields = {
             "listen": "127.0.0.1:0",
             "discovery": f"127.0.0.1:{service}",
             "settings": {"classes": classes},
         }
         config = tmp_path / "config.json"
-        config.write_text(json.dumps(told))
+        config.write_text(json.dumps(config_fields))
         balancers = [await running.enter_async_context(program(config)) for _ in range(4)]
         ports = [await balancer.port(b"lines") for balancer in balancers]
         for balancer in balancers:
@@ -431,20 +435,20 @@
 
 
 async def test_a_channel_that_is_opened_as_its_connections_time_runs_out_is_served() -> None:
-    """The open that lay unread was thrown away, and the connection ended for being idle."""
+    """The unread open was discarded, and the connection closed as idle."""
     async with harness() as here:
         await here.server("s-1", echo)
         client = await here.channel_client()
         await here.settle()
         await client.open(1, "0a")
-        here.clock.advance(IDLE)
+        here.clock.advance(IDLE_TIMEOUT_MS)
         await here.settle()
         assert isinstance(await client.next(), codec.OpenConfirmation)
         await anyio.aclose_forcefully(client.stream)
 
 
 async def test_a_connection_that_both_sides_lose_at_once_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each direction left it to the other to say how it had ended: the request stood on for good."""
+    """Each direction left the completion to the other, and the request was never removed."""
     write = anyio.Event()
 
     async def script(peer: Peer) -> None:
@@ -454,7 +458,7 @@
         await peer.send_line(b"two")
         await peer.line()
 
-    async def lost(*given: object) -> None:
+    async def lost(*arguments: object) -> None:
         raise ConnectionBroken("the peer has gone")
 
     async with harness() as here:
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -1,4 +1,4 @@
-"""Stories of the line front, the exchange and the server list, over loopback sockets."""
+"""The line front, the exchange and the server list, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -40,17 +40,17 @@
 )
 async def test_lines_pass_unchanged_and_an_end_passes_as_it_came(ends: str, how: str, seen: bytes) -> None:
     peers: list[Peer] = []
-    came, over = anyio.Event(), anyio.Event()
+    connected, finished = anyio.Event(), anyio.Event()
 
     async def script(peer: Peer) -> None:
         peers.append(peer)
-        came.set()
-        await over.wait()
+        connected.set()
+        await finished.wait()
 
     async with harness() as here:
         await here.server("s-1", script)
         client = await here.client(opening(figures=b"c=price-lookup,t=\xe9,d=2000,x,h=1.50,y=a=b"))
-        await came.wait()
+        await connected.wait()
         server = peers[0]
         first = await server.line()
         assert first == b"OPEN 0a 7f3a c=price-lookup,t=\xe9,d=1000,x,h=1.50,y=a=b\r\n"
@@ -63,7 +63,7 @@
         ender, other = (client, server) if ends == "client" else (server, client)
         await (ender.fin() if how == "fin" else ender.rst())
         assert await other.line() == seen
-        over.set()
+        finished.set()
 
 
 @pytest.mark.parametrize(
@@ -96,16 +96,18 @@
             await (script or silent)(Peer(stream))
 
         port = 1 if result is Result.CONNECT_FAILED else await here.listen(handle)
-        first = codec.decode_first(opening() + b"\r\n")
+        first = codec.decode_command(opening() + b"\r\n")
         assert isinstance(first, Opening)
-        machine = ServerEntry(Server("s"), "127.0.0.1", port)
+        entry = ServerEntry(Server("s"), "127.0.0.1", port)
         written: list[bool] = []
         with pytest.raises(AttemptEnded) as ended:
             await LineServerConnector(here.clock, DescriptorBudget(), 500.0).open_connection(
-                machine, first, 900.0, anyio.lowlevel.checkpoint, lambda: written.append(True)
+                entry, first, 900.0, anyio.lowlevel.checkpoint, lambda: written.append(True)
             )
         assert ended.value.result is result
-        assert written == [True] * (result is not Result.CONNECT_FAILED), "told once, when all of it was out"
+        assert written == [True] * (result is not Result.CONNECT_FAILED), (
+            "reported once, when all of the opening was written"
+        )
 
 
 @pytest.mark.parametrize(
@@ -132,10 +134,10 @@
         assert await client.line() == b"ERR no line in time\r\n"
 
 
-async def test_a_job_given_up_is_answered_at_once_with_the_time_to_come_back(
+async def test_a_request_given_up_is_answered_at_once_with_a_retry_after(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """BUSY goes out with the last attempt's end; the clock never moves. The log says why."""
+    """BUSY is sent when the last attempt ends, without waiting, and the log gives the reason."""
     async with harness() as here:
         for ident in ("s-1", "s-2"):
             await here.server(ident, answering(b"BUSY"))
@@ -144,52 +146,52 @@
             word, _, wait = (await client.line()).strip().partition(b" ")
         assert word == b"BUSY" and 750 <= int(wait) <= 1_500
         assert await client.line() == b"FIN"
-    (told,) = [vars(r) for r in caplog.records if r.getMessage() == "answer"]
-    assert (told["key"], told["answer"], told["attempts"]) == ("7f3a", "busy", 2)
-    assert told["why"] == "every server unreachable" and told["waited_ms"] == 0
+    (fields,) = [vars(r) for r in caplog.records if r.getMessage() == "answer"]
+    assert (fields["key"], fields["answer"], fields["attempts"]) == ("7f3a", "busy", 2)
+    assert fields["why"] == "every server unreachable" and fields["waited_ms"] == 0
 
 
-async def test_the_only_claim_out_is_given_up_before_the_next() -> None:
-    out = most = 0
+async def test_an_attempt_is_given_up_before_the_next_starts() -> None:
+    open_attempts = max_open = 0
 
     async def script(peer: Peer) -> None:
-        nonlocal out, most
+        nonlocal open_attempts, max_open
         await peer.line()
-        out += 1
-        most = max(most, out)
+        open_attempts += 1
+        max_open = max(max_open, open_attempts)
         here.clock.advance(1_000.0)
         await peer.line()  # until the balancer gives up
-        out -= 1
+        open_attempts -= 1
 
     async with harness() as here:
         for ident in ("s-1", "s-2", "s-3"):
             await here.server(ident, script)
         client = await here.client(opening())
         assert (await client.line()).startswith(b"BUSY ")
-        assert most == 1
+        assert max_open == 1
 
 
-async def test_a_fault_in_a_side_is_one_failed_job() -> None:
-    async def broken(*given: object) -> None:
+async def test_an_exception_of_a_connector_fails_one_request() -> None:
+    async def broken(*arguments: object) -> None:
         raise RuntimeError("a fault")
 
     async with harness() as here:
         await here.server("s-1", echo)
         client = await here.client(opening("01"))
         assert await client.line() == b"UP r1\r\n"
-        whole = here.exchange._attempts.connectors
+        original_connectors = here.exchange._attempts.connectors
         here.exchange._attempts.connectors = {
             "lines": cast(ServerConnector, SimpleNamespace(open_connection=broken))
         }
         bad = await here.client(opening("02"))
         assert [await bad.line(), await bad.line()] == [b"ERR failed\r\n", b"FIN"]
-        here.exchange._attempts.connectors = whole
+        here.exchange._attempts.connectors = original_connectors
         assert here.exchange._balancer._load == 1.0
         await client.send_line(b"on")
         assert await client.line() == b"on\r\n"
 
 
-async def test_a_connection_that_stood_before_goes_to_its_own_server() -> None:
+async def test_a_connection_established_before_goes_to_its_own_server() -> None:
     async with harness() as here:
         for ident in ("s-1", "s-2", "s-3"):
             await here.server(ident, echo)
@@ -199,8 +201,7 @@
 
 
 async def test_notes_of_delay_turn_new_connections_away_from_a_slow_server() -> None:
-    """LOAD lines carried delays where only delays are told; taken for loads they moved nobody, and
-    a calm day kept 0.77 of the simulator's result."""
+    """Delays in LOAD lines were taken for loads, and no new connection avoided the slow server."""
 
     async def slow(peer: Peer) -> None:
         await peer.line()
@@ -221,16 +222,16 @@
 
 
 async def test_a_silent_connection_is_moved_within_seven_seconds() -> None:
-    """Its client may send the line two seconds after it fell silent: five seconds on were too late."""
+    """A client may send its line 2 s after the server fell silent, so 5 s from that line are too late."""
 
     async def script(peer: Peer) -> None:
         await peer.line()
         await peer.send_line(b"UP r1")
         await peer.line()
-        heard.append(here.clock.now())
+        line_times.append(here.clock.now())
         await peer.line()
 
-    heard: list[float] = []
+    line_times: list[float] = []
     async with harness() as here:
         await here.server("s-1", script)
         client = await here.client(opening())
@@ -238,21 +239,21 @@
         await client.send_line(b"M 1")
         here.tasks.start_soon(here.run_clock)
         assert await client.line() == b"MOVE\r\n"
-        assert here.clock.now() - heard[0] < 4_500.0
+        assert here.clock.now() - line_times[0] < 4_500.0
         assert await client.line() == b"FIN"
 
 
 async def test_all_clients_of_a_server_that_vanished_are_moved_together() -> None:
-    """Each alone waited five seconds from its own line; those that had sent nothing waited longer."""
+    """Each waited for a timeout from its own line, and those that had sent nothing waited longer."""
 
     async def script(peer: Peer) -> None:
         await peer.line()
         await peer.send_line(b"UP r1")
         if await peer.line() not in (b"FIN", b"RST"):
-            heard.append(here.clock.now())
+            line_times.append(here.clock.now())
         await anyio.sleep_forever()
 
-    heard: list[float] = []
+    line_times: list[float] = []
     async with harness() as here:
         await here.server("s-1", script)
         clients = [await here.client(opening(f"0{n}")) for n in range(4)]
@@ -260,12 +261,12 @@
             assert await client.line() == b"UP r1\r\n"
         for client in clients[:3]:
             await client.send_line(b"M 1")
-        while len(heard) < 3:
+        while len(line_times) < 3:
             await anyio.sleep(0)
         here.tasks.start_soon(here.run_clock)
         for client in clients:
             assert await client.line() == b"MOVE\r\n"
-        assert here.clock.now() - heard[0] < 4_500.0
+        assert here.clock.now() - line_times[0] < 4_500.0
 
 
 async def test_a_server_that_ends_because_its_client_has_is_not_taken_for_failed() -> None:
@@ -301,7 +302,7 @@
             here.clock.advance(100.0)
             await anyio.wait_all_tasks_blocked()
             moves.append(sum(request.is_established for request in here.exchange._requests.values()))
-        assert len(set(moves)) > 3, "they went together"
+        assert len(set(moves)) > 3, "clients were moved all at once"
         for client in [*clients, late]:
             assert [await client.line(), await client.line()] == [b"MOVE\r\n", b"FIN"]
             await client.fin()
@@ -324,25 +325,25 @@
     ],
 )
 async def test_the_watch_takes_lists_and_survives_garbage(body: str | None, taken: list[str] | None) -> None:
-    """Version 0 is a version: taken for none it turned the watch into calls for the whole list."""
-    asked: list[bytes] = []
+    """Version 0 taken for no version turned the watch into calls for the full list."""
+    calls: list[bytes] = []
     lists: list[ServerEntries | None] = []
-    heard, again = anyio.Event(), anyio.Event()
+    list_taken, called_again = anyio.Event(), anyio.Event()
 
     async def handle(stream: anyio.abc.SocketStream) -> None:
         peer = Peer(stream)
-        asked.append(await peer.line())
-        if len(asked) > 1 and body is not None:
-            again.set()
+        calls.append(await peer.line())
+        if len(calls) > 1 and body is not None:
+            called_again.set()
             await anyio.sleep_forever()
         answer = b"nonsense" if body is None else body.encode()
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" if body is not None else b"%d"
         await stream.send(head % len(answer) + answer)
 
-    def take(machines: ServerEntries | None) -> int | None:
-        lists.append(machines)
-        heard.set()
-        return machines.version if machines else None
+    def take(listed: ServerEntries | None) -> int | None:
+        lists.append(listed)
+        list_taken.set()
+        return listed.version if listed else None
 
     async with harness() as here:
         port = await here.listen(handle)
@@ -350,12 +351,12 @@
         here.tasks.start_soon(watch.run)
         await anyio.wait_all_tasks_blocked()
         watch.subscribe(True)
-        await heard.wait()
-        # A new version was not ready for 5 s: its first call waited for news beyond the known list.
-        assert asked[0] == b"GET /v1/servers?index=0&wait=0 HTTP/1.1\r\n"
+        await list_taken.wait()
+        # The first call must not wait for an update of the known list, which delayed readiness by 5 s.
+        assert calls[0] == b"GET /v1/servers?index=0&wait=0 HTTP/1.1\r\n"
         if taken:
-            await again.wait()
-            assert asked[1].endswith(b"&wait=%d HTTP/1.1\r\n" % WATCH_WAIT_MS)
+            await called_again.wait()
+            assert calls[1].endswith(b"&wait=%d HTTP/1.1\r\n" % WATCH_WAIT_MS)
         first = lists[0]
         assert (first and [m.server.id for m in first.entries]) == taken
 
@@ -379,34 +380,36 @@
         assert tries > 1
 
 
-HUGE = 10**400  # a whole number that JSON may hold, and no float can
+HUGE = 10**400  # an integer that JSON may hold but no float
 
 
 def test_an_entry_with_a_number_beyond_all_is_rejected_by_itself() -> None:
-    """The conversion failed in a way that nobody had thought of, and ended the process."""
-    figures: list[dict[str, Any]] = [
+    """An OverflowError of the conversion stopped the process."""
+    field_sets: list[dict[str, Any]] = [
         {"weight": HUGE},
         {"started_ms": HUGE},
         {"cell": HUGE},
         {"cell": 1e300},
         {},
     ]
-    entries = [{"id": f"s-{n}", "addr": "127.0.0.1:1", **figure} for n, figure in enumerate(figures)]
-    told: dict[str, Any] = {"version": 1, "full": True, "servers": entries}
+    entries = [
+        {"id": f"s-{n}", "addr": "127.0.0.1:1", **bad_fields} for n, bad_fields in enumerate(field_sets)
+    ]
+    answer: dict[str, Any] = {"version": 1, "full": True, "servers": entries}
     rejected: list[str] = []
-    machines = parse_server_list(told, StartTimes(SettableClock()), rejected.append).entries
-    assert [machine.server.id for machine in machines] == ["s-4"] and len(rejected) == 4
+    listed = parse_server_list(answer, StartTimes(SettableClock()), rejected.append).entries
+    assert [entry.server.id for entry in listed] == ["s-4"] and len(rejected) == 4
     for version in (HUGE, -HUGE, 1 << 63):
         with pytest.raises(BadEntry, match="version"):
-            parse_server_list({**told, "version": version}, StartTimes(SettableClock()), rejected.append)
+            parse_server_list({**answer, "version": version}, StartTimes(SettableClock()), rejected.append)
 
 
 def test_an_entry_whose_text_no_encoding_holds_is_rejected_by_itself() -> None:
-    """JSON may escape half a character: the store could not write it, and the process ended."""
-    sound = {"id": "s-1", "addr": "127.0.0.1:1"}
+    """JSON may escape half a surrogate pair, which the store cannot encode and which stopped the process."""
+    valid = {"id": "s-1", "addr": "127.0.0.1:1"}
     for field in ("id", "zone", "kind"):
-        bad = {**sound, "id": "s-2", field: "\ud800"}
-        read = json.loads(json.dumps({"version": 1, "full": True, "servers": [bad, sound]}))
+        bad = {**valid, "id": "s-2", field: "\ud800"}
+        read = json.loads(json.dumps({"version": 1, "full": True, "servers": [bad, valid]}))
         rejected: list[str] = []
-        machines = parse_server_list(read, StartTimes(SettableClock()), rejected.append).entries
-        assert [machine.server.id for machine in machines] == ["s-1"] and field in rejected[0]
+        listed = parse_server_list(read, StartTimes(SettableClock()), rejected.append).entries
+        assert [entry.server.id for entry in listed] == ["s-1"] and field in rejected[0]
