--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""The one helper of the story tests: scripted peers on loopback round a real exchange and its fronts."""
+"""Test harness: scripted clients and servers on loopback around a real exchange and its fronts."""
 
 from __future__ import annotations
 
@@ -40,13 +40,13 @@
 Handler = Callable[[anyio.abc.SocketStream], Awaitable[None]]
 
 
-def settings(**more: object) -> Settings:
+def settings(**fields: object) -> Settings:
     classes = [
         RequestClass("price-lookup", 2_000.0, message_aim=60.0),
         RequestClass("payment", 2_000.0, effect=Effect.UNSAFE),
     ]
     base: dict[str, object] = {"max_retry_after": 1_500.0, "max_attempts": 4, "may_cancel": True}
-    return Settings(**({"classes": classes} | base | more))  # type: ignore[arg-type]
+    return Settings(**({"classes": classes} | base | fields))  # type: ignore[arg-type]
 
 
 class Peer:
@@ -57,7 +57,7 @@
         self._rest = b""
 
     async def line(self) -> bytes:
-        """The next line; b"FIN" or b"RST" where the connection ends."""
+        """Return the next line, or b"FIN" or b"RST" if the connection is closed."""
         while b"\n" not in self._rest:
             try:
                 self._rest += await self.stream.receive()
@@ -84,7 +84,7 @@
 
 
 class ChannelPeer:
-    """A scripted end of a channel connection: whole messages, one at a time, in the order they come."""
+    """A scripted end of a channel connection, which reads one message at a time."""
 
     def __init__(self, stream: anyio.abc.SocketStream) -> None:
         self.stream = stream
@@ -98,7 +98,7 @@
         await self.stream.send(b"".join(map(codec.encode, messages)))
 
     async def next(self, *, windows: bool = False) -> codec.Message | bytes:
-        """The next message, but for window adjustments; b"FIN" or b"RST" where the connection ends."""
+        """Return the next message that is no window adjustment, or b"FIN" or b"RST" at the end."""
         while True:
             while (payload := self._packets.next()) is None:
                 try:
@@ -119,7 +119,7 @@
         await self.send_messages(codec.ChannelOpen(codec.REQUEST_CHANNEL, number, window, 32_768, extra))
 
     async def confirm(self, window: int = 1_000) -> codec.ChannelOpen:
-        """Take the next open and let it stand, under the peer's own number."""
+        """Confirm the next open, with the peer's channel number at both ends."""
         message = await self.next()
         assert isinstance(message, codec.ChannelOpen)
         await self.send_messages(
@@ -128,8 +128,8 @@
         return message
 
 
-class NoSource:
-    """A server list that never changes; where `told` is set, one that is asked and may answer."""
+class StaticSource:
+    """A list source that sends nothing; `refreshable` is what its refresh() returns."""
 
     def __init__(self) -> None:
         self.refreshable = False
@@ -146,21 +146,21 @@
 
 @dataclass
 class Harness:
-    """What a story has at hand. Everything ends with the block that opened it."""
+    """An exchange, its fronts and a settable clock, all stopped at the end of the `harness` block."""
 
     tasks: anyio.abc.TaskGroup
     clock: SettableClock
     exchange: Exchange
     tracker: ConnectionTracker
-    source: NoSource
+    source: StaticSource
     port: int = 0
-    over: bool = False  # the story has been told, and its clients are sent away
+    over: bool = False  # broken connections are expected from now on
 
     async def listen(self, handle: Handler) -> int:
-        """Where scripted peers listen."""
+        """Start a listener for scripted peers; return its port."""
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
 
-        async def play(stream: anyio.abc.SocketStream) -> None:
+        async def run_handler(stream: anyio.abc.SocketStream) -> None:
             try:
                 await handle(stream)
             except anyio.BrokenResourceError:
@@ -169,7 +169,7 @@
             finally:
                 await anyio.aclose_forcefully(stream)
 
-        self.tasks.start_soon(listener.serve, play)
+        self.tasks.start_soon(listener.serve, run_handler)
         return int(listener.extra(SocketAttribute.local_port))
 
     def front(
@@ -178,9 +178,9 @@
         tracker: ConnectionTracker | None = None,
         turn_away: Callable[[TcpStream], Awaitable[None]] | None = None,
     ) -> int:
-        """Where a front listens."""
+        """Start a listener for a front; return its port."""
         listener = bind(("127.0.0.1", 0))
-        given = (
+        arguments = (
             listener,
             handle,
             tracker or self.tracker,
@@ -189,7 +189,7 @@
             MAX_ACCEPTS_PER_TURN,
             False,
         )
-        self.tasks.start_soon(accept_connections, *given, turn_away)
+        self.tasks.start_soon(accept_connections, *arguments, turn_away)
         return int(listener.getsockname()[1])
 
     def management(
@@ -198,7 +198,7 @@
         state: Path | None = None,
         extras: Mapping[str, AdminHandler] | None = None,
     ) -> int:
-        """Where the second address listens."""
+        """Start a management listener; return its port."""
         tracker = ConnectionTracker(self.clock, DescriptorBudget(MAX_MGMT_DESCRIPTORS + 1, 0), idle_divisor=1)
         calls = AdminApi(self.exchange, Cordons(state, self.exchange.cordon), lacking, extras)
         return self.front(HttpCallHandler(calls.answer, tracker).handle, tracker)
@@ -206,7 +206,7 @@
     async def server(
         self, ident: str, script: Callable[[Peer], Awaitable[None]], front: str = "lines"
     ) -> None:
-        """A scripted server that is on the server list from now on."""
+        """Start a scripted server and list it."""
 
         async def handle(stream: anyio.abc.SocketStream) -> None:
             await script(Peer(stream))
@@ -220,26 +220,26 @@
         self.exchange.take_list(ServerEntries(1, False, [machine]))
 
     async def run_clock(self) -> None:
-        """Time runs, fast, until the story is over."""
+        """Advance the clock by 100 ms every 2 ms, until cancelled."""
         while True:
             self.clock.advance(100.0)
             await anyio.sleep(0.002)
 
     async def settle(self) -> None:
-        """Let all that has been sent arrive: the loop turns until nothing is left to do."""
+        """Run the event loop for some turns, so that sent data arrives."""
         for _ in range(50):
             await anyio.sleep(0)
 
     def channel_port(self) -> int:
-        """Where a channel front listens."""
+        """Start a listener for the channel front; return its port."""
         return self.front(ChannelClientHandler(self.exchange, self.tracker).handle)
 
     async def channel_client(self) -> ChannelPeer:
         port = self.channel_port()
         return await ChannelPeer(await anyio.connect_tcp("127.0.0.1", port)).hello()
 
-    async def wind_down(self) -> None:
-        """Every client goes and every limit passes: then no request, leg or count may be left."""
+    async def disconnect_and_check(self) -> None:
+        """Disconnect all clients, let all timeouts pass, and check that no request or count is left."""
         self.over = True
         for request in list(self.exchange._requests.values()):
             self.tasks.start_soon(request.client.abort)
@@ -266,9 +266,9 @@
     return b"OPEN " + request_id.encode() + b" 7f3a " + figures
 
 
-async def http_call(port: int, said: str | bytes) -> tuple[int, str]:
-    """One call of the second address: METHOD PATH, or raw bytes; its status and text."""
-    raw = f"{said} HTTP/1.1\r\nHost: here\r\n\r\n".encode() if isinstance(said, str) else said
+async def http_call(port: int, call: str | bytes) -> tuple[int, str]:
+    """Send "METHOD PATH" or raw bytes to the management address; return status and body."""
+    raw = f"{call} HTTP/1.1\r\nHost: here\r\n\r\n".encode() if isinstance(call, str) else call
     async with await anyio.connect_tcp("127.0.0.1", port) as stream:
         await stream.send(raw)
         answer = b""
@@ -280,7 +280,7 @@
 
 
 def answering(*lines: bytes, rst: bool = False, stay: bool = False) -> Script:
-    """A server that says these lines to an opening, then ends."""
+    """Return a server script that answers an opening with these lines and closes."""
 
     async def script(peer: Peer) -> None:
         await peer.line()
@@ -295,7 +295,7 @@
 
 
 async def echo(peer: Peer) -> None:
-    """A sound server: UP, then each line back."""
+    """Answer UP, then send each line back."""
     await peer.line()
     await peer.send_line(b"UP r1")
     while (line := await peer.line()) not in (b"FIN", b"RST"):
@@ -304,41 +304,41 @@
 
 
 def discovery(asked: list[bytes], *servers: Mapping[str, object]) -> Handler:
-    """Discovery that names these servers when asked for the whole list, and then has no more to tell."""
+    """Return a discovery service with this full list and no later updates; calls are appended to `asked`."""
 
     async def handle(stream: anyio.abc.SocketStream) -> None:
         peer = Peer(stream)
         asked.append(await peer.line())
-        whole = b"index=" not in asked[-1]
-        if not whole and b"wait=0 " not in asked[-1]:
+        is_full = b"index=" not in asked[-1]
+        if not is_full and b"wait=0 " not in asked[-1]:
             await peer.line()
             await anyio.sleep_forever()
-        told = {"version": 1, "full": whole, "servers": servers if whole else []}
-        body = json.dumps(told).encode()
+        answer = {"version": 1, "full": is_full, "servers": servers if is_full else []}
+        body = json.dumps(answer).encode()
         await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
     return handle
 
 
 def trace_of(*entries: tuple[float, EventKind, dict[str, Any]]) -> Trace:
-    """A trace of these entries, each with its time in ms, its kind and its fields."""
+    """Return a trace of entries, each with its time in ms, its kind and its fields."""
     times = iter([0.0, *(at for at, _, _ in entries)])
     trace = Trace(lambda: next(times))
-    for _, what, more in entries:
-        trace.add(what, **more)
+    for _, what, fields in entries:
+        trace.add(what, **fields)
     return trace
 
 
 class Program:
-    """The program as it is started, and its log."""
+    """A started process of the program and its log."""
 
     def __init__(self, process: anyio.abc.Process) -> None:
         self.process = process
-        self.log_read = b""  # all of its log that was read
+        self.log_read = b""  # all log output read so far
         self._log = b""
 
     async def wait_for_log(self, pattern: bytes) -> re.Match[bytes]:
-        """Wait for a line of the log; what stands before it is not looked at again."""
+        """Wait for a log line that matches, after the last one that was waited for."""
         while (found := re.search(pattern + rb".*\n", self._log)) is None:
             piece = await cast(anyio.abc.ByteReceiveStream, self.process.stderr).receive()
             self.log_read += piece
@@ -352,17 +352,19 @@
 
 @asynccontextmanager
 async def program(config: Path, *words: str, fds: Sequence[int] = (), **env: str) -> AsyncIterator[Program]:
-    """Started, with so many descriptors where DESCRIPTORS tells it; the story ends it."""
+    """Start the program; DESCRIPTORS sets its RLIMIT_NOFILE. The test stops the process itself."""
     command = [sys.executable, "-m", "puffinford", *words]
     if limit := env.pop("DESCRIPTORS", ""):
         command = ["/bin/sh", "-c", f'ulimit -n {limit}; exec "$@"', "sh", *command]
-    told = {"PATH": os.environ["PATH"], "EDGE_CONFIG": str(config), **env}
-    async with await anyio.open_process(command, env=told, stderr=subprocess.PIPE, pass_fds=fds) as process:
+    environment = {"PATH": os.environ["PATH"], "EDGE_CONFIG": str(config), **env}
+    async with await anyio.open_process(
+        command, env=environment, stderr=subprocess.PIPE, pass_fds=fds
+    ) as process:
         running = Program(process)
         try:
             yield running
         except BaseException:
-            # Guards whoever looks for the cause against a story that ends without the program's words.
+            # Print the program's log for a failed test.
             with contextlib.suppress(ProcessLookupError):
                 process.kill()
             with anyio.CancelScope(shield=True), contextlib.suppress(anyio.EndOfStream):
@@ -375,17 +377,17 @@
 
 
 @asynccontextmanager
-async def harness(told: Settings | None = None) -> AsyncIterator[Harness]:
-    told = told or settings()
+async def harness(configured: Settings | None = None) -> AsyncIterator[Harness]:
+    configured = configured or settings()
     clock = SettableClock()
     budget = DescriptorBudget()
-    lines = LineServerConnector(clock, budget, told.connect_timeout)
-    channels = ChannelServerConnector(clock, budget, told.connect_timeout)
-    exchange = Exchange(told, 1, clock, {"lines": lines, "channels": channels})
+    lines = LineServerConnector(clock, budget, configured.connect_timeout)
+    channels = ChannelServerConnector(clock, budget, configured.connect_timeout)
+    exchange = Exchange(configured, 1, clock, {"lines": lines, "channels": channels})
     with anyio.fail_after(20):
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(channels.run)
-            source = NoSource()
+            source = StaticSource()
             tasks.start_soon(exchange.run, source)
             await anyio.wait_all_tasks_blocked()
             here = Harness(tasks, clock, exchange, ConnectionTracker(clock, budget), source)
@@ -393,5 +395,5 @@
             here.port = here.front(clients.handle, turn_away=clients.turn_away)
             yield here
             if not tasks.cancel_scope.cancel_called:
-                await here.wind_down()
+                await here.disconnect_and_check()
             tasks.cancel_scope.cancel()
