--- a/tests/harness.py
+++ b/tests/harness.py
@@ -114,8 +114,8 @@
     async def open(
         self, number: int, request_id: str, window: int = 1_000, cls: str = "price-lookup", key: str = "7f3a"
     ) -> None:
-        figures = (("c", cls), ("t", "a"), ("d", "2000"), ("g", "5c"), ("h", "1.5"))
-        extra = encode_opening(Opening.from_parameters(request_id, key, figures), 2_000.0)
+        parameters = (("c", cls), ("t", "a"), ("d", "2000"), ("g", "5c"), ("h", "1.5"))
+        extra = encode_opening(Opening.from_parameters(request_id, key, parameters), 2_000.0)
         await self.send_messages(codec.ChannelOpen(codec.REQUEST_CHANNEL, number, window, 32_768, extra))
 
     async def confirm(self, window: int = 1_000) -> codec.ChannelOpen:
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -25,8 +25,8 @@
 
 pytestmark = pytest.mark.anyio
 
-GOOD = opening()
-HALF_OPEN = codec.encode(codec.ChannelOpen(codec.REQUEST_CHANNEL, 7, 1_000, 32_768, bytes(64)))
+VALID_OPEN = opening()
+CHANNEL_OPEN = codec.encode(codec.ChannelOpen(codec.REQUEST_CHANNEL, 7, 1_000, 32_768, bytes(64)))
 
 
 @pytest.mark.parametrize(
@@ -41,9 +41,9 @@
         b"OPEN 0a 7f3a c=price-lookup,d=2000,d=1\r\n",
         b"OPEN 0a 7f3a c=price-lookup,t=\x00,d=2000\r\n",
         b"OPEN  7f3a c=price-lookup,d=2000\r\n",
-        (GOOD + b"\r\n") * 300,
-        GOOD + b"\r\nM 1\r\n",
-        GOOD + b"\r\n\xff",
+        (VALID_OPEN + b"\r\n") * 300,
+        VALID_OPEN + b"\r\nM 1\r\n",
+        VALID_OPEN + b"\r\n\xff",
         b"PING\r\n" * 300,
     ],
     ids=lambda payload: repr(payload[:48]),
@@ -65,7 +65,11 @@
         async with anyio.create_task_group() as sending:
 
             async def send() -> None:
-                with pytest.raises(anyio.BrokenResourceError) if len(payload) > 10_000_000 else Quiet():
+                with (
+                    pytest.raises(anyio.BrokenResourceError)
+                    if len(payload) > 10_000_000
+                    else IgnoreBrokenStream()
+                ):
                     await bad.stream.send(payload)
 
             sending.start_soon(send)
@@ -77,7 +81,7 @@
         assert here.tracker.budget.used == 0 and connections == 0
 
 
-class Quiet:
+class IgnoreBrokenStream:
     """Suppresses the failure of a send to a closed connection."""
 
     def __enter__(self) -> None: ...
@@ -96,7 +100,7 @@
     opening_received, finished = anyio.Event(), anyio.Event()
     async with harness() as here:
         await here.server("s-1", server)
-        client = await here.client(GOOD)
+        client = await here.client(VALID_OPEN)
         await opening_received.wait()
         await client.send_line(opening("0b"))
         assert await client.line() == b"ERR a line before UP\r\n"
@@ -109,12 +113,12 @@
     async with harness() as here:
         for ident in ("s-1", "s-2", "s-3"):
             await here.server(ident, answering(b"ERR in use"))
-        client = await here.client(GOOD)
+        client = await here.client(VALID_OPEN)
         assert (await client.line()).startswith(b"BUSY ")
         assert not any(b.unreachable for b in here.exchange._balancer._fleet.backends.values())
 
 
-async def drip(peer: Peer) -> None:
+async def send_single_bytes(peer: Peer) -> None:
     with contextlib.suppress(anyio.BrokenResourceError):
         while True:
             await peer.stream.send(b"U")
@@ -138,7 +142,7 @@
     async def script(peer: Peer) -> None:
         await peer.line()
         if payload is None:
-            return await drip(peer)
+            return await send_single_bytes(peer)
         with contextlib.suppress(anyio.BrokenResourceError):
             await peer.stream.send(payload)
             await peer.line()
@@ -147,7 +151,7 @@
         for ident in ("s-1", "s-2"):
             await here.server(ident, script)
         start = here.clock.now()
-        client = await here.client(GOOD)
+        client = await here.client(VALID_OPEN)
         here.tasks.start_soon(here.run_clock)
         assert (await client.line()).startswith(answer)
         assert here.clock.now() - start <= 2_000.0 + 200.0, "the request's deadline and a step of the clock"
@@ -167,7 +171,7 @@
         channels = (await here.channel_client()).stream if front == "channels" else None
         port = here.port if channels is None else channels.extra(anyio.abc.SocketAttribute.remote_port)
         silent = [await anyio.connect_tcp("127.0.0.1", port) for _ in range(100)]
-        client = await here.client(GOOD)
+        client = await here.client(VALID_OPEN)
         assert await client.line() == b"UP r1\r\n"
         assert here.tracker.budget.used <= 96 // 4 + 2
         here.tasks.start_soon(here.run_clock)
@@ -187,18 +191,18 @@
         here.tracker.budget.limit = 96
         await here.server("s-1", echo)
         slow = await here.client()
-        crowd = []
-        for piece in (GOOD + b"\r\n")[:10], (GOOD + b"\r\n")[10:30], (GOOD + b"\r\n")[30:]:
+        idle_streams = []
+        for piece in (VALID_OPEN + b"\r\n")[:10], (VALID_OPEN + b"\r\n")[10:30], (VALID_OPEN + b"\r\n")[30:]:
             for _ in range(20):
-                crowd.append(await anyio.connect_tcp("127.0.0.1", here.port))
-                await crowd[-1].send(b"OPEN 0b")
+                idle_streams.append(await anyio.connect_tcp("127.0.0.1", here.port))
+                await idle_streams[-1].send(b"OPEN 0b")
             await here.settle()
             await slow.stream.send(piece)
             await here.settle()
             here.clock.advance(800.0)
         assert await slow.line() == b"UP r1\r\n"
         assert here.tracker.budget.used <= 96 // 4 + 2
-        for stream in crowd:
+        for stream in idle_streams:
             await anyio.aclose_forcefully(stream)
 
 
@@ -213,7 +217,7 @@
                 stream, half = line.stream, opening()
             else:
                 channel = await here.channel_client()
-                stream, half = channel.stream, HALF_OPEN
+                stream, half = channel.stream, CHANNEL_OPEN
             await here.settle()
             here.clock.advance(rested)
             await here.settle()
@@ -290,7 +294,7 @@
         client = await here.client()
         with monkeypatch.context() as patch:
             patch.setattr(connect.__globals__["socket"], "socket", Short)
-            await client.send_line(GOOD)
+            await client.send_line(VALID_OPEN)
             assert (await client.line()).startswith(b"BUSY ")
         assert not here.exchange._balancer._fleet.backends["s-1"].unreachable
 
--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -271,7 +271,7 @@
     assert seen == MESSAGES and packets.version == codec.VERSION
 
 
-def raw(number: int, rest: bytes = b"") -> bytes:
+def raw_message(number: int, rest: bytes = b"") -> bytes:
     return codec.encode_packet(bytes((number,)) + rest)
 
 
@@ -281,13 +281,25 @@
         (b"\x00\x00\x00\x05\x04" + bytes(8), codec.PROTOCOL_ERROR, "packet of 5 bytes"),
         (b"\x7f\xff\xff\xff\x04" + bytes(8), codec.PROTOCOL_ERROR, "packet of"),
         (b"\x00\x00\x00\x0c\x0b" + bytes(11), codec.PROTOCOL_ERROR, "padding of 11"),
-        (raw(94, codec.uint32(999) + codec.string(b"x")), codec.PROTOCOL_ERROR, "unknown channel 999"),
-        (raw(94, codec.uint32(0) + codec.uint32(9)), codec.PROTOCOL_ERROR, "message too short"),
-        (raw(96, codec.uint32(0) + b"more"), codec.PROTOCOL_ERROR, "message too long"),
-        (raw(96, codec.uint32(0)) + raw(94, codec.uint32(0) + codec.string(b"x")), 2, "data after the end"),
-        (raw(93, codec.uint32(0) + codec.uint32(0xFFFFFFFF)), codec.PROTOCOL_ERROR, "window of channel 0"),
-        (raw(91, codec.uint32(0) + bytes(12)), codec.PROTOCOL_ERROR, "answer to no open"),
-        (raw(20), codec.KEY_EXCHANGE_FAILED, "no key exchange"),
+        (
+            raw_message(94, codec.uint32(999) + codec.string(b"x")),
+            codec.PROTOCOL_ERROR,
+            "unknown channel 999",
+        ),
+        (raw_message(94, codec.uint32(0) + codec.uint32(9)), codec.PROTOCOL_ERROR, "message too short"),
+        (raw_message(96, codec.uint32(0) + b"more"), codec.PROTOCOL_ERROR, "message too long"),
+        (
+            raw_message(96, codec.uint32(0)) + raw_message(94, codec.uint32(0) + codec.string(b"x")),
+            2,
+            "data after the end",
+        ),
+        (
+            raw_message(93, codec.uint32(0) + codec.uint32(0xFFFFFFFF)),
+            codec.PROTOCOL_ERROR,
+            "window of channel 0",
+        ),
+        (raw_message(91, codec.uint32(0) + bytes(12)), codec.PROTOCOL_ERROR, "answer to no open"),
+        (raw_message(20), codec.KEY_EXCHANGE_FAILED, "no key exchange"),
     ],
 )
 async def test_what_breaks_the_rules_is_disconnected_and_each_open_request_answered_once(
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -33,13 +33,13 @@
 PAYMENT = b"c=payment,t=a,d=2000,g=5c"
 
 
-class Raw:
+class SyncClient:
     """A client that makes system calls without turns of the event loop between them."""
 
     def __init__(self, port: int) -> None:
         self.sock = socket.create_connection(("127.0.0.1", port))
 
-    def say(self, data: bytes) -> None:
+    def send_bytes(self, data: bytes) -> None:
         self.sock.sendall(data)
 
     def fin(self) -> None:
@@ -49,7 +49,7 @@
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.sock.close()
 
-    async def all(self) -> bytes:
+    async def read_all(self) -> bytes:
         """Return all input, followed by b"RST" if the connection is reset."""
         self.sock.setblocking(False)
         seen = b""
@@ -68,28 +68,28 @@
 
 def channel_hello(request_id: str, number: int = 7) -> bytes:
     """Return a channel client's version line and open."""
-    figures = (("c", "price-lookup"), ("t", "a"), ("d", "2000"), ("g", "5c"))
-    extra = encode_opening(Opening.from_parameters(request_id, "7f3a", figures), 2_000.0)
+    parameters = (("c", "price-lookup"), ("t", "a"), ("d", "2000"), ("g", "5c"))
+    extra = encode_opening(Opening.from_parameters(request_id, "7f3a", parameters), 2_000.0)
     message = codec.ChannelOpen(codec.REQUEST_CHANNEL, number, 1_000, 32_768, extra)
     return codec.VERSION.encode() + b"\r\n" + codec.encode(message)
 
 
 @dataclass
-class Servers:
+class ScriptedServers:
     """Scripted servers, with their connections and openings."""
 
-    connections: int = 0
+    connection_count: int = 0
     openings: list[str] = field(default_factory=list)
 
     async def lines(self, ident: str, peer: Peer) -> None:
-        self.connections += 1
+        self.connection_count += 1
         if (await peer.line()).startswith(b"OPEN"):
             self.openings.append(ident)
             await peer.send_line(b"UP " + ident.encode())
             await peer.line()
 
     async def channels(self, ident: str, peer: Peer) -> None:
-        self.connections += 1
+        self.connection_count += 1
         server = await ChannelPeer(peer.stream).hello()
         with contextlib.suppress(AssertionError, anyio.BrokenResourceError):
             await server.confirm()
@@ -97,7 +97,7 @@
             while await server.next() not in (b"FIN", b"RST"):
                 pass
 
-    async def list(self, here: Harness, front: str, *idents: str) -> None:
+    async def add_servers(self, here: Harness, front: str, *idents: str) -> None:
         for ident in idents:
 
             async def script(peer: Peer, ident: str = ident) -> None:
@@ -128,21 +128,21 @@
         )
 
 
-async def turns(count: int) -> None:
+async def run_turns(count: int) -> None:
     for _ in range(count):
         await anyio.sleep(0)
 
 
-def leave(client: Raw, front: str, how: str) -> None:
+def leave(client: SyncClient, front: str, how: str) -> None:
     if how == "cancel" and front == "channels":
-        client.say(codec.encode(codec.GlobalRequest(codec.CANCEL, False, codec.uint32(7))))
+        client.send_bytes(codec.encode(codec.GlobalRequest(codec.CANCEL, False, codec.uint32(7))))
     elif how == "rst":
         client.rst()
     else:
         client.fin()
 
 
-LEAVING = [
+DEPARTURES = [
     ("lines", "fin"),
     ("lines", "rst"),
     ("channels", "cancel"),
@@ -152,16 +152,16 @@
 
 
 @pytest.mark.parametrize("server", ["lines", "channels"])
-@pytest.mark.parametrize(("front", "how"), LEAVING)
+@pytest.mark.parametrize(("front", "how"), DEPARTURES)
 async def test_no_attempt_begins_for_a_client_that_has_gone(
     front: str, how: str, server: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The opening was sent although the client's FIN had arrived, unread."""
-    gate, servers = Gate(monkeypatch), Servers()
+    gate, servers = Gate(monkeypatch), ScriptedServers()
     async with harness() as here:
-        await servers.list(here, server, "s-1", "s-2")
-        client = Raw(here.port if front == "lines" else here.channel_port())
-        client.say(opening() + b"\r\n" if front == "lines" else channel_hello("0a"))
+        await servers.add_servers(here, server, "s-1", "s-2")
+        client = SyncClient(here.port if front == "lines" else here.channel_port())
+        client.send_bytes(opening() + b"\r\n" if front == "lines" else channel_hello("0a"))
         await gate.reached.wait()
         gate.opened.set()
         leave(client, front, how)
@@ -172,14 +172,14 @@
 @pytest.mark.parametrize("how", ["fin", "rst"])
 async def test_a_client_that_left_the_accept_queue_costs_no_server_a_connection(how: str) -> None:
     """The process was suspended while the client connected, sent its request and left."""
-    servers = Servers()
+    servers = ScriptedServers()
     async with harness() as here:
-        await servers.list(here, "lines", "s-1", "s-2")
-        client = Raw(here.port)
-        client.say(opening() + b"\r\n")
+        await servers.add_servers(here, "lines", "s-1", "s-2")
+        client = SyncClient(here.port)
+        client.send_bytes(opening() + b"\r\n")
         leave(client, "lines", how)
         await here.settle()
-        assert servers.connections == 0
+        assert servers.connection_count == 0
 
 
 @pytest.mark.parametrize("server", ["lines", "channels"])
@@ -188,13 +188,13 @@
     update: str, server: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A connection may take longer to establish than the drain grace lasts."""
-    gate, servers = Gate(monkeypatch), Servers()
+    gate, servers = Gate(monkeypatch), ScriptedServers()
     async with harness() as here:
-        await servers.list(here, server, "s-1")
-        client = Raw(here.port)
-        client.say(opening() + b"\r\n")
+        await servers.add_servers(here, server, "s-1")
+        client = SyncClient(here.port)
+        client.send_bytes(opening() + b"\r\n")
         await gate.reached.wait()
-        await servers.list(here, server, "s-2")
+        await servers.add_servers(here, server, "s-2")
         if update == "cordoned":
             here.exchange.cordon(frozenset({"s-1"}))
         else:
@@ -213,35 +213,35 @@
         yield listener
 
 
-def expire_timeouts(here: Harness, client: Raw) -> None:
+def expire_timeouts(here: Harness, client: SyncClient) -> None:
     here.clock.advance(60_000.0)
 
 
-def drain(here: Harness, client: Raw) -> None:
+def drain(here: Harness, client: SyncClient) -> None:
     here.tasks.start_soon(here.exchange.drain, 0.0, 0.0)
 
 
-def fin(here: Harness, client: Raw) -> None:
+def fin(here: Harness, client: SyncClient) -> None:
     client.fin()
 
 
-def rst(here: Harness, client: Raw) -> None:
+def rst(here: Harness, client: SyncClient) -> None:
     client.rst()
 
 
-def reload(here: Harness, client: Raw) -> None:
+def reload(here: Harness, client: SyncClient) -> None:
     here.exchange.configure(settings(max_attempts=2))
 
 
-def early_line(here: Harness, client: Raw) -> None:
-    client.say(b"M 1\r\n")
+def early_line(here: Harness, client: SyncClient) -> None:
+    client.send_bytes(b"M 1\r\n")
 
 
-def relist(here: Harness, client: Raw) -> None:
+def relist(here: Harness, client: SyncClient) -> None:
     here.list_server("s-1", 1, ServerState.DRAINING)
 
 
-OTHERS: dict[str, Callable[[Harness, Raw], None]] = {
+OTHER_EVENTS: dict[str, Callable[[Harness, SyncClient], None]] = {
     "the client's FIN": fin,
     "the client's RST": rst,
     "a line of the client": early_line,
@@ -254,7 +254,7 @@
 
 @pytest.mark.parametrize("answer", [b"UP r1\r\n", b"UP r1\r\nUP r2\r\n", b"BYE\r\n", b"BUSY\r\n", b"ERR\r\n"])
 @pytest.mark.parametrize("after", [-1, 0, 1, 2, 3, 4])
-@pytest.mark.parametrize("other", OTHERS)
+@pytest.mark.parametrize("other", OTHER_EVENTS)
 async def test_an_answer_and_another_event_make_one_final_answer(
     other: str, after: int, answer: bytes
 ) -> None:
@@ -262,25 +262,25 @@
     with listening() as listener:
         async with harness() as here:
             here.list_server("s-1", listener.getsockname()[1])
-            client = Raw(here.port)
-            client.say(opening(figures=PAYMENT) + b"\r\n")
+            client = SyncClient(here.port)
+            client.send_bytes(opening(figures=PAYMENT) + b"\r\n")
             listener.setblocking(False)
             await anyio.wait_readable(listener)
             server, _ = listener.accept()
             server.setblocking(False)
             await anyio.wait_readable(server)
             if after < 0:
-                OTHERS[other](here, client)
+                OTHER_EVENTS[other](here, client)
                 server.sendall(answer)
             else:
                 server.sendall(answer)
-                await turns(after)
-                OTHERS[other](here, client)
+                await run_turns(after)
+                OTHER_EVENTS[other](here, client)
             await here.settle()
             if other != "the client's RST":
                 here.tasks.start_soon(here.run_clock)
                 server.close()
-                seen = await client.all()
+                seen = await client.read_all()
                 words = [line.split(b" ")[0].strip() for line in seen.removesuffix(b"RST").splitlines()]
                 final = [word for word in words if word in (b"UP", b"BUSY", b"ERR", b"BYE")]
                 arguments = answer.splitlines()
@@ -296,13 +296,13 @@
     """It was answered ERR although its line had arrived."""
     async with harness() as here:
         await here.server("s-1", echo)
-        client = Raw(here.port)
+        client = SyncClient(here.port)
         if rested == PING_IDLE_TIMEOUT_MS:
-            client.say(b"PING\r\n")
+            client.send_bytes(b"PING\r\n")
             await here.settle()
             assert client.sock.recv(100) == b"PONG\r\n"
         await here.settle()
-        client.say(opening() + b"\r\n")
+        client.send_bytes(opening() + b"\r\n")
         here.clock.advance(rested)
         await here.settle()
         assert client.sock.recv(100) == b"UP r1\r\n"
@@ -314,10 +314,10 @@
 async def test_what_lies_unread_does_not_reset_the_last_answer(size: int, answer: str) -> None:
     """Closing with unread input sends a RST, which failed the client's send before it read the answer."""
     async with harness() as here:
-        client = Raw(here.port)
+        client = SyncClient(here.port)
         client.sock.setblocking(False)
         if answer == "BUSY":
-            client.say(opening() + b"\r\n")
+            client.send_bytes(opening() + b"\r\n")
             await anyio.wait_readable(client.sock)  # already answered
         left = memoryview(b"x" * size)
         while left:
@@ -325,7 +325,7 @@
                 left = left[client.sock.send(left) :]
             except BlockingIOError:
                 await anyio.wait_writable(client.sock)
-        seen = client.all()
+        seen = client.read_all()
         client.fin()
         received = await seen
         assert received.startswith(answer.encode()) and received.endswith(b"\r\n"), (
@@ -351,8 +351,8 @@
         settings(classes=[RequestClass("payment", 2_000.0, effect=effect, window=800.0)])
     ) as here:
         await here.server("s-1", silent)
-        client = Raw(here.port)
-        client.say(opening(figures=PAYMENT) + b"\r\n")
+        client = SyncClient(here.port)
+        client.send_bytes(opening(figures=PAYMENT) + b"\r\n")
         await gate.reached.wait()
         if sent:
             gate.opened.set()
@@ -380,14 +380,14 @@
         for ident in ("s-1", "s-2"):
             await here.server(ident, resets)
         gate.opened.set()
-        client = Raw(here.port)
-        client.say(opening(figures=PAYMENT) + b"\r\n")
+        client = SyncClient(here.port)
+        client.send_bytes(opening(figures=PAYMENT) + b"\r\n")
         while not openings:
             await anyio.sleep(0)
         await gate.reached.wait()
         here.clock.advance(801.0)
         gate.opened.set()
-        assert (await client.all()).startswith(b"BUSY ")
+        assert (await client.read_all()).startswith(b"BUSY ")
         assert openings == 1
 
 
@@ -417,11 +417,11 @@
         for balancer in balancers:
             await balancer.wait_for_log(b"server=s-1 .*list=replace")
             balancer.process.send_signal(signal.SIGSTOP)
-        stay: list[Raw] = []
+        stay: list[SyncClient] = []
         for number, port in enumerate(ports):
             for n, how in enumerate(("fin", "rst", "stay")):
-                client = Raw(port)
-                client.say(opening(f"{number}{n}") + b"\r\n")
+                client = SyncClient(port)
+                client.send_bytes(opening(f"{number}{n}") + b"\r\n")
                 stay.append(client) if how == "stay" else leave(client, "lines", how)
         for balancer in balancers:
             balancer.process.send_signal(signal.SIGCONT)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -13,15 +13,17 @@
 from tests.harness import Peer, discovery, echo, harness, http_call, opening, program
 
 pytestmark = pytest.mark.anyio
-LIMIT = 128
-CROWD = 300
+DESCRIPTOR_LIMIT = 128
+IDLE_CONNECTIONS = 300
 
 
 def open_descriptors(pid: int) -> int:
     return len(list(Path(f"/proc/{pid}/fd").iterdir()))
 
 
-@pytest.mark.parametrize("configured", [LIMIT, 4 * LIMIT], ids=["as configured", "fewer than configured"])
+@pytest.mark.parametrize(
+    "configured", [DESCRIPTOR_LIMIT, 4 * DESCRIPTOR_LIMIT], ids=["as configured", "fewer than configured"]
+)
 async def test_silent_connections_leave_descriptors_for_calls_a_reload_and_a_client(
     configured: int, tmp_path: Path
 ) -> None:
@@ -45,16 +47,16 @@
             "settings": {"classes": classes},
         }
         config.write_text(json.dumps(config_fields))
-        async with program(config, DESCRIPTORS=str(LIMIT), TMPDIR=str(tmp_path)) as running:
+        async with program(config, DESCRIPTORS=str(DESCRIPTOR_LIMIT), TMPDIR=str(tmp_path)) as running:
             ports = {}
             for front in (b"lines", b"management"):
                 ports[front] = await running.port(front)
             pid = running.process.pid
             before = open_descriptors(pid)
-            crowd = []
-            for _ in range(CROWD):
-                crowd.append(await anyio.connect_tcp("127.0.0.1", ports[b"lines"]))
-                await crowd[-1].send(b"OPEN ")
+            idle_streams = []
+            for _ in range(IDLE_CONNECTIONS):
+                idle_streams.append(await anyio.connect_tcp("127.0.0.1", ports[b"lines"]))
+                await idle_streams[-1].send(b"OPEN ")
             status, _ = await http_call(ports[b"management"], "GET /admin/health")
             assert status == 503, "answered, though there is no list yet"
             running.process.send_signal(signal.SIGHUP)
@@ -65,7 +67,7 @@
             await client.send_line(opening())
             assert await client.line() == b"UP r1\r\n"
             assert b"accept failed" not in running.log_read and b"connect failed" not in running.log_read
-            for stream in crowd:
+            for stream in idle_streams:
                 await anyio.aclose_forcefully(stream)
             await client.fin()
             with anyio.fail_after(10):
