--- a/puffinford/fronts/channels/codec.py
+++ b/puffinford/fronts/channels/codec.py
@@ -56,6 +56,7 @@
         self._position = 0
 
     def take(self, count: int) -> bytes:
+        """Return the next `count` bytes."""
         piece = self._data[self._position : self._position + count]
         if len(piece) != count:
             raise MalformedMessage("message too short")
@@ -79,19 +80,23 @@
         return self.string().decode("latin-1")
 
     def rest(self) -> bytes:
+        """Return all remaining bytes."""
         return self.take(len(self._data) - self._position)
 
 
 def uint32(value: int) -> bytes:
+    """Encode a uint32 of RFC 4251."""
     return struct.pack(">I", value)
 
 
 def string(value: bytes | str) -> bytes:
+    """Encode a string of RFC 4251."""
     data = value.encode("latin-1", "replace") if isinstance(value, str) else value
     return uint32(len(data)) + data
 
 
 def boolean(value: bool) -> bytes:
+    """Encode a boolean of RFC 4251."""
     return bytes((value,))
 
 
@@ -316,6 +321,7 @@
         self.version: str | None = None
 
     def feed(self, chunk: bytes) -> None:
+        """Add received bytes."""
         self._buffer += chunk
 
     @property
--- a/puffinford/fronts/channels/multiplexer.py
+++ b/puffinford/fronts/channels/multiplexer.py
@@ -423,6 +423,7 @@
                 yield int  # activity is not tracked
 
     def _handle_message(self, message: codec.Message) -> None:
+        """Apply a message to its channel or the connection; raises MalformedMessage."""
         match message:
             case codec.ChannelOpen():
                 self._handle_open(message)
@@ -463,6 +464,7 @@
                 channel.handle_message(message)
 
     def _handle_open(self, message: codec.ChannelOpen) -> None:
+        """Refuse an open, or pass its channel to `on_open`; raises MalformedMessage."""
         sender = message.sender
         if sender in self._peer_channels:
             raise codec.MalformedMessage(f"channel {sender} is open already")
@@ -479,6 +481,7 @@
             self._on_open(channel, message)
 
     def _add_channel(self) -> Channel:
+        """Create a channel with an unused number."""
         while self._next_id in self._channels:
             self._next_id = (self._next_id + 1) & 0xFFFFFFFF
         channel = self._channels[self._next_id] = Channel(self, self._next_id)
--- a/puffinford/fronts/lines/codec.py
+++ b/puffinford/fronts/lines/codec.py
@@ -39,6 +39,7 @@
 
 
 def _decode_text(line: bytes) -> str:
+    """Return a line without its end; raises InvalidLine if it has none."""
     if not line.endswith(LINE_END):
         raise InvalidLine("no line end")
     # Latin-1 preserves every byte, so that the line is passed on unchanged.
--- a/puffinford/fronts/lines/connection.py
+++ b/puffinford/fronts/lines/connection.py
@@ -12,7 +12,7 @@
 
 
 class LineConnection:
-    """A PeerConnection whose messages are lines; to the client or to the server."""
+    """A PeerConnection, to a client or a server, whose messages are lines."""
 
     def __init__(self, stream: TcpStream) -> None:
         self._stream = stream
--- a/puffinford/fronts/lines/server.py
+++ b/puffinford/fronts/lines/server.py
@@ -22,6 +22,7 @@
         self.connect_timeout = connect_timeout
 
     async def _connect(self, entry: ServerEntry, wait: float) -> TcpStream:
+        """Connect within `wait` ms and `connect_timeout`; raises AttemptEnded."""
         stream = None
         try:
             with self._clock.limit(min(wait, self.connect_timeout)):
--- a/puffinford/fronts/sockets.py
+++ b/puffinford/fronts/sockets.py
@@ -34,7 +34,7 @@
 LINGER_DIVISOR = 16  # lingering connections may hold 1/16 of the descriptors ...
 MIN_LINGERING = 8  # ... and at least 8 may linger
 FINAL_WRITE_TIMEOUT_MS = 500.0  # for a peer to read the last message of a connection
-MIN_CLOSE_TIMEOUT_MS = 20.0  # lower bound of these timeouts during shutdown
+MIN_CLOSE_TIMEOUT_MS = 20.0  # lower bound of both timeouts during shutdown
 CLOSE_CHECK_TURNS = 4  # turns of the event loop for readers to consume input that precedes a FIN
 # For discovery, the listeners, the process's own files and one turn of accepting.
 RESERVED_DESCRIPTORS = 32
@@ -77,10 +77,12 @@
         self.on_change: Callable[[], object] = int  # called when a socket is opened or closed
 
     def acquire(self) -> None:
+        """Count one more open socket."""
         self.used += 1
         self.on_change()
 
     def release(self) -> None:
+        """Count one open socket less."""
         self.used -= 1
         self.on_change()
 
@@ -93,7 +95,7 @@
     def linger(self, scope: anyio.CancelScope) -> Iterator[None]:
         """Register a lingering close; `scope` is cancelled when its descriptor is needed."""
         self._lingering[scope] = None
-        if not self.shutting_down:  # no new connections need the descriptors
+        if not self.shutting_down:  # during shutdown no new connection needs them
             self.cut_lingering(
                 max(0, self.lingering_count - max(MIN_LINGERING, self.limit // LINGER_DIVISOR))
             )
@@ -113,6 +115,7 @@
 
     @property
     def lingering_count(self) -> int:
+        """The number of lingering connections."""
         return len(self._lingering)
 
     def cut_lingering(self, count: int) -> int:
@@ -283,6 +286,7 @@
         self._partial_line = b""
 
     def feed(self, chunk: bytes) -> None:
+        """Add received bytes."""
         *complete, self._partial_line = (self._partial_line + chunk).split(b"\n")
         self._lines.extend(line + b"\n" for line in complete)
         if len(self._partial_line) >= MAX_LINE_BYTES:
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -41,6 +41,7 @@
 
 
 def settings(**fields: object) -> Settings:
+    """Return settings with a safe and an unsafe request class; keywords set other fields."""
     classes = [
         RequestClass("price-lookup", 2_000.0, message_aim=60.0),
         RequestClass("payment", 2_000.0, effect=Effect.UNSAFE),
@@ -91,6 +92,7 @@
         self._packets = codec.PacketReader(banner=True)
 
     async def hello(self) -> ChannelPeer:
+        """Send the version line."""
         await self.stream.send(codec.VERSION.encode() + b"\r\n")
         return self
 
@@ -235,6 +237,7 @@
         return self.front(ChannelClientHandler(self.exchange, self.tracker).handle)
 
     async def channel_client(self) -> ChannelPeer:
+        """Start a channel front and connect a client to it."""
         port = self.channel_port()
         return await ChannelPeer(await anyio.connect_tcp("127.0.0.1", port)).hello()
 
@@ -256,6 +259,7 @@
         assert abs(balancer._load) < 1e-6
 
     async def client(self, first: bytes | None = None) -> Peer:
+        """Connect a client to the line front, and send its first line if there is one."""
         peer = Peer(await anyio.connect_tcp("127.0.0.1", self.port))
         if first is not None:
             await peer.send_line(first)
@@ -263,6 +267,7 @@
 
 
 def opening(request_id: str = "0a", figures: bytes = b"c=price-lookup,t=a,d=2000,g=5c") -> bytes:
+    """Return an OPEN line without its end."""
     return b"OPEN " + request_id.encode() + b" 7f3a " + figures
 
 
@@ -378,6 +383,7 @@
 
 @asynccontextmanager
 async def harness(configured: Settings | None = None) -> AsyncIterator[Harness]:
+    """Run an exchange and a line front, and check at the end that no request is left."""
     configured = configured or settings()
     clock = SettableClock()
     budget = DescriptorBudget()
