--- a/puffinford/config.py
+++ b/puffinford/config.py
@@ -1,4 +1,4 @@
-"""What a balancer is told at its start, from the environment and the file that it names."""
+"""Reads the balancer's configuration from the environment and the file that EDGE_CONFIG names."""
 
 from __future__ import annotations
 
@@ -21,20 +21,22 @@
 
 
 class BadConfig(Exception):
-    """The configuration cannot be used; the text says where and why."""
+    """Raised for an unusable configuration; the message names the field and the fault."""
 
 
 @dataclass(frozen=True)
 class Limits:
-    """What the platform allows. The program counts its descriptors; the rest is kept by its bounds."""
+    """Resource limits set by the platform. Only `sockets` is enforced at run time."""
 
     cores: float = 1.0
     memory_mb: float = 192.0
-    sockets: int = 1_024
+    sockets: int = 1_024  # file descriptors
 
 
 @dataclass(frozen=True)
 class Config:
+    """The configuration of one balancer process."""
+
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int] | None
@@ -44,46 +46,46 @@
     inventory: Path | None = None
     limits: Limits = Limits()
     operators: OperatorSettings = field(default_factory=OperatorSettings)
-    mgmt: tuple[str, int] | None = None  # the second address
-    socket_fd: int | None = None  # the platform's listening socket, where it holds one
-    state: str | None = None  # the directory that the versions of this balancer share
-    absent: Mapping[str, str] = field(default_factory=dict)  # settings not told, with what stands for each
+    mgmt: tuple[str, int] | None = None  # the management address
+    socket_fd: int | None = None  # a listening socket inherited from the platform
+    state: str | None = None  # the directory shared by all versions of this balancer
+    absent_settings: Mapping[str, str] = field(default_factory=dict)  # each with its default in words
 
     @property
     def channels(self) -> tuple[str, int] | None:
-        """Where the channel front listens; None where it is off."""
+        """The address of the channel front; None if it is disabled."""
         return self.operators.channels.listen if self.operators.channels.enabled else None
 
 
-def _reject(text: str) -> None:
+def _log_rejected_entry(text: str) -> None:
     log.warning("known entry rejected", extra={"error": text})
 
 
-def _address(told: Mapping[str, Any], name: str) -> tuple[str, int] | None:
-    text = told.get(name)
+def _address(document: Mapping[str, Any], name: str) -> tuple[str, int] | None:
+    text = document.get(name)
     if text is None:
         return None
     if not isinstance(text, str):
-        raise BadConfig(f"{name}: no text")
+        raise BadConfig(f"{name}: not a string")
     try:
         return parse_address(text)
     except BadEntry as exc:
         raise BadConfig(f"{name}: {exc}") from None
 
 
-def _limits(told: object) -> Limits:
-    """The limits that are told, the rest as they are by default."""
-    if told is None:
+def _limits(section: object) -> Limits:
+    """Return the configured limits, with defaults for those left out."""
+    if section is None:
         return Limits()
-    if not isinstance(told, dict):
+    if not isinstance(section, dict):
         raise BadConfig("limits: not an object")
     values: dict[str, float] = {}
     for name in ("cores", "memory_mb", "sockets"):
-        value = told.get(name)
+        value = section.get(name)
         if value is None:
             continue
         if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < math.inf:
-            raise BadConfig(f"limits.{name}: no number above 0")
+            raise BadConfig(f"limits.{name}: not a number above 0")
         values[name] = value
     sockets = int(values.pop("sockets", Limits.sockets))
     return Limits(sockets=sockets, **values)
@@ -95,73 +97,73 @@
     inventory: Path | None = None,
     operators: Path = DEFAULT_FILE,
     *,
-    again: bool = False,
+    reloading: bool = False,
 ) -> Config:
-    """The configuration; `again` when it is read anew: the file is newer than the environment then."""
+    """Read the configuration; on a reload the file overrides the environment. Raises BadConfig."""
     path = env.get("EDGE_CONFIG")
     if not path:
-        raise BadConfig("EDGE_CONFIG names no file")
+        raise BadConfig("EDGE_CONFIG is not set")
     try:
-        told = json.loads(Path(path).read_bytes())
+        document = json.loads(Path(path).read_bytes())
     except (OSError, ValueError, RecursionError) as exc:
         raise BadConfig(f"{path}: {exc}") from None
-    if not isinstance(told, dict):
+    if not isinstance(document, dict):
         raise BadConfig(f"{path}: not an object")
     for name in ("name", "listen", "discovery"):
-        # Guards a reload against the address that the process was started with: the file has moved on.
-        if env.get(f"EDGE_{name.upper()}") and not (again and name in told):
-            told[name] = env[f"EDGE_{name.upper()}"]
+        # On a reload the file may have changed since the environment was set.
+        if env.get(f"EDGE_{name.upper()}") and not (reloading and name in document):
+            document[name] = env[f"EDGE_{name.upper()}"]
     if env.get("EDGE_MGMT"):
-        # Guards the second address of a new version, which the file of both versions cannot tell.
-        told["mgmt"] = env["EDGE_MGMT"]
-    listen = _address(told, "listen")
+        # Two versions of a balancer share the file, but each has a management address of its own.
+        document["mgmt"] = env["EDGE_MGMT"]
+    listen = _address(document, "listen")
     if listen is None:
         raise BadConfig("listen: missing")
-    if not isinstance(told.get("settings"), dict):
+    if not isinstance(document.get("settings"), dict):
         raise BadConfig("settings: missing")
     try:
-        settings = decode_settings(told["settings"])
+        settings = decode_settings(document["settings"])
     except (WireError, ValueError) as exc:
         raise BadConfig(str(exc)) from None
-    seed = told.get("seed", 0)
+    seed = document.get("seed", 0)
     try:
-        number = int(seed, 16) if isinstance(seed, str) else int(seed)
+        seed_value = int(seed, 16) if isinstance(seed, str) else int(seed)
     except (ValueError, TypeError, OverflowError):
-        raise BadConfig("seed: no number") from None
+        raise BadConfig("seed: not a number") from None
     known = None
-    if told.get("known") is not None:
+    if document.get("known") is not None:
         try:
             known = parse_server_list(
-                told["known"],
+                document["known"],
                 starts,
                 lambda text: log.warning("known entry rejected", extra={"error": text}),
             )
         except BadEntry as exc:
             raise BadConfig(f"known: {exc}") from None
-    discovery = _address(told, "discovery")
+    discovery = _address(document, "discovery")
     if discovery is None and inventory is None:
         raise BadConfig("discovery: missing, and no inventory is given")
-    name = str(told.get("name", ""))
-    limits = _limits(told.get("limits"))
-    mgmt = _address(told, "mgmt")
+    name = str(document.get("name", ""))
+    limits = _limits(document.get("limits"))
+    mgmt = _address(document, "mgmt")
     try:
-        told_by_operators = load_settings(operators).settings
+        operator_settings = load_settings(operators).settings
     except BadSettings as exc:
         raise BadConfig(str(exc)) from None
     return Config(
         name,
         listen,
         discovery,
-        number,
+        seed_value,
         settings,
         known,
         inventory,
         limits,
-        told_by_operators,
+        operator_settings,
         mgmt,
         _descriptor(env.get("EDGE_SOCKET_FD")),
         env.get("TMPDIR") or None,
-        absent_settings(told["settings"]),
+        absent_settings(document["settings"]),
     )
 
 
@@ -169,5 +171,5 @@
     if not text:
         return None
     if not text.isascii() or not text.isdigit():
-        raise BadConfig("EDGE_SOCKET_FD: no descriptor")
+        raise BadConfig("EDGE_SOCKET_FD: not a descriptor number")
     return int(text)
--- a/puffinford/listening.py
+++ b/puffinford/listening.py
@@ -1,4 +1,4 @@
-"""The addresses at which a process listens, and who accepts there."""
+"""ListenerManager sockets: binds them as the configuration says and accepts connections for each front."""
 
 from __future__ import annotations
 
@@ -24,34 +24,34 @@
 
 log = logging.getLogger("puffinford.serve")  # operators find these lines by `from`
 
-MAY_ACCEPT_LOOK = 50.0  # ms between looks whether a front may accept yet
+MAY_ACCEPT_POLL_INTERVAL_MS = 50.0
 
-Bound = list[tuple["Front", socket.socket]]  # fronts with the listeners of their new addresses
+BoundListeners = list[tuple["Front", socket.socket]]  # newly bound fronts
 
 
 @dataclass
 class Front:
-    """One listening address and what serves the connections that come there."""
+    """One listening address and the handler of its connections."""
 
     name: str
     handle: Handler
     tracker: ConnectionTracker
-    turn: int = MAX_ACCEPTS_PER_TURN
-    turn_away: Handler | None = None  # answers those who find no place
+    accepts_per_turn: int = MAX_ACCEPTS_PER_TURN
+    turn_away: Handler | None = None  # answers connections beyond the descriptor budget
     address: tuple[str, int] | None = None
-    scope: anyio.CancelScope | None = None  # ends the listening; what was accepted stays
-    listeners: int = 0  # that accept, or take what waits at an address given up
+    scope: anyio.CancelScope | None = None  # cancels listening; accepted connections stay
+    acceptors: int = 0  # running accept loops, including those that empty the backlog of a former address
 
     def stop(self) -> bool:
-        """Listen no more; tells whether it did until now."""
+        """Stop listening; return whether the front was listening until now."""
         if self.scope is None or self.scope.cancel_called:
             return False
         self.scope.cancel()
         return True
 
 
-class Listening:
-    """Binds and listens where a configuration says, and accepts into a task group of the caller's."""
+class ListenerManager:
+    """Binds the configured addresses and accepts connections into the caller's task group."""
 
     def __init__(
         self,
@@ -62,8 +62,8 @@
         management: Front,
         may_accept: Callable[[], bool],
     ) -> None:
-        """`may_accept` tells whether clients are accepted yet; callers of the second address always are."""
-        self._home = config.listen
+        """Clients are accepted once `may_accept` returns true; management callers are accepted at once."""
+        self._initial_address = config.listen
         self._socket_fd = config.socket_fd
         self._clock = clock
         self.lines = lines
@@ -73,67 +73,67 @@
 
     @property
     def fronts(self) -> tuple[Front, Front]:
-        """Those for clients."""
+        """The fronts that serve clients."""
         return self.lines, self.channels
 
     @property
-    def ended(self) -> bool:
-        """Whether nobody accepts clients any more, nor takes what waits at an address given up."""
-        return not any(front.listeners for front in self.fronts)
+    def all_stopped(self) -> bool:
+        """Whether every accept loop for clients has ended, including those that empty a backlog."""
+        return not any(front.acceptors for front in self.fronts)
 
     def stop(self) -> None:
-        """Listen for no more clients."""
+        """Stop listening for clients."""
         for front in self.fronts:
             front.stop()
 
-    def bind(self, config: Config) -> Bound:
-        """Listeners where a front's address is new; raises OSError, and then none is left open."""
-        made: Bound = []
+    def bind(self, config: Config) -> BoundListeners:
+        """Bind each front whose address is new. Raises OSError, having closed what was bound."""
+        bound: BoundListeners = []
         try:
-            for front, address in self._wanted(config):
+            for front, address in self._configured_addresses(config):
                 if address is not None and address != front.address:
-                    made.append((front, self._bind_one(front, address)))
+                    bound.append((front, self._bind_one(front, address)))
         except OSError:
-            for _, listener in made:
+            for _, listener in bound:
                 listener.close()
             raise
-        return made
+        return bound
 
     def listen(
         self,
         config: Config,
-        made: Bound,
+        bound: BoundListeners,
         tasks: anyio.abc.TaskGroup,
         connections: anyio.abc.TaskGroup,
     ) -> None:
-        """Listen at the new addresses and no longer at those that are not wanted.
+        """Listen at the newly bound addresses, and stop listening at addresses no longer configured.
 
-        Accepting runs in `tasks`, what was accepted in `connections`.
+        Accept loops run in `tasks`, connection handlers in `connections`.
         """
-        for front, address in self._wanted(config):
+        for front, address in self._configured_addresses(config):
             if address != front.address:
                 front.address = address
                 front.stop()
                 front.scope = anyio.CancelScope()
-        for front, listener in made:
+        for front, listener in bound:
             assert front.scope is not None
             tasks.start_soon(self._accept, front, listener, front.scope, connections)
-            told = {"balancer": config.name, "front": front.name, "listen": local_address(listener)}
-            log.info("serving", extra=told)
+            fields = {"balancer": config.name, "front": front.name, "listen": local_address(listener)}
+            log.info("serving", extra=fields)
 
-    def _wanted(self, config: Config) -> list[tuple[Front, tuple[str, int] | None]]:
+    def _configured_addresses(self, config: Config) -> list[tuple[Front, tuple[str, int] | None]]:
         return [
             (self.lines, config.listen),
             (self.channels, config.channels),
             (self._management, config.mgmt),
         ]
 
-    def _from_platform(self, front: Front, address: tuple[str, int] | None) -> bool:
-        """Whether the platform holds the listening socket there."""
-        return self._socket_fd is not None and front is self.lines and address == self._home
+    def _is_inherited(self, front: Front, address: tuple[str, int] | None) -> bool:
+        """Whether the front listens on the socket inherited from the platform."""
+        return self._socket_fd is not None and front is self.lines and address == self._initial_address
 
     def _bind_one(self, front: Front, address: tuple[str, int]) -> socket.socket:
-        if self._from_platform(front, address):
+        if self._is_inherited(front, address):
             assert self._socket_fd is not None
             return inherited_listener(self._socket_fd)
         return bind(address, share_port=front is self.channels and self._socket_fd is not None)
@@ -145,14 +145,22 @@
         scope: anyio.CancelScope,
         connections: anyio.abc.TaskGroup,
     ) -> None:
-        """Accept at a front, beside an earlier version only once this one can serve."""
-        shared = self._from_platform(front, front.address)
+        """Accept connections at a front; client fronts wait until clients may be accepted."""
+        inherited = self._is_inherited(front, front.address)
         if front is not self._management:
             while not (self._may_accept() or scope.cancel_called):
-                await self._clock.sleep(MAY_ACCEPT_LOOK)
-        front.listeners += 1
-        given = (listener, front.handle, front.tracker, connections, scope, front.turn, shared)
+                await self._clock.sleep(MAY_ACCEPT_POLL_INTERVAL_MS)
+        front.acceptors += 1
+        arguments = (
+            listener,
+            front.handle,
+            front.tracker,
+            connections,
+            scope,
+            front.accepts_per_turn,
+            inherited,
+        )
         try:
-            await accept_connections(*given, front.turn_away)
+            await accept_connections(*arguments, front.turn_away)
         finally:
-            front.listeners -= 1
+            front.acceptors -= 1
--- a/puffinford/serve.py
+++ b/puffinford/serve.py
@@ -1,4 +1,4 @@
-"""Puts the parts together and runs them until the end."""
+"""The serving process: wires the components together, reloads the configuration and shuts down."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     DescriptorBudget,
     raise_descriptor_limit,
 )
-from puffinford.listening import Bound, Front, Listening
+from puffinford.listening import BoundListeners, Front, ListenerManager
 from puffinford.management.admin_api import AdminApi
 from puffinford.management.cordons import Cordons
 from puffinford.management.http import HttpCallHandler
@@ -43,19 +43,19 @@
 
 log = logging.getLogger(__name__)
 
-LOOK = 50.0  # ms between looks for other versions of this balancer
-LAST_LOOK = 10.0  # ms between looks for connections that have not ended, at the end of the process
-LAST_WORDS = 50.0  # ms before the close in which channel connections end that still have channels
-SIGNALS_TOGETHER = 20.0  # ms in which signals that were sent in a row may be seen in another order
-RELOAD_MOST = 200.0  # ms that the end waits for a configuration that was told before it
-HAND_OVER = 300.0  # in which an earlier version sees this one, and writes what it has learned
+VERSION_POLL_INTERVAL_MS = 50.0
+SHUTDOWN_POLL_INTERVAL_MS = 10.0
+SESSION_CLOSE_LEAD_MS = 50.0  # channel sessions that are still open end this long before the close
+SIGNAL_REORDER_WINDOW_MS = 20.0  # signals sent in quick succession may be delivered in another order
+MAX_RELOAD_WAIT_MS = 200.0  # how long a shutdown waits for a reload that was requested before it
+HANDOVER_WAIT_MS = 300.0  # gives an earlier version time to detect this one and store its learned state
 
 
 class Service:
-    """The parts of one balancer, and what a new configuration changes in them."""
+    """The components of one balancer process, from start to shutdown."""
 
     def __init__(self, config: Config, clock: Clock, load: Callable[[], Config], starts: StartTimes) -> None:
-        """`load` reads the configuration anew; `starts` has mapped the starts of its `known`."""
+        """`load` rereads the configuration; `starts` converts server start times, as in `config.known`."""
         self._config = config
         self._clock = clock
         self._load = load
@@ -67,9 +67,12 @@
         connect_timeout = config.settings.connect_timeout
         self._line_servers = LineServerConnector(clock, self._budget, connect_timeout)
         self._channel_servers = ChannelServerConnector(clock, self._budget, connect_timeout)
-        sides: dict[str, ServerConnector] = {"lines": self._line_servers, "channels": self._channel_servers}
-        self._exchange = Exchange(config.settings, config.seed, clock, sides)
-        place = store_file(config.operators.state, config.state, config.name)
+        connectors: dict[str, ServerConnector] = {
+            "lines": self._line_servers,
+            "channels": self._channel_servers,
+        }
+        self._exchange = Exchange(config.settings, config.seed, clock, connectors)
+        store_location = store_file(config.operators.state, config.state, config.name)
         exchange = self._exchange
         self._rebalancer = Rebalancer(
             figures(config.operators.rebalance),
@@ -80,7 +83,7 @@
         )
         self._keeper = Keeper(
             config.operators.state,
-            place,
+            store_location,
             clock,
             exchange.health,
             exchange.learn,
@@ -103,39 +106,42 @@
         clients = LineClientHandler(self._exchange, tracker)
         lines = Front("lines", clients.handle, tracker, turn_away=clients.turn_away)
         channels = Front("channels", ChannelClientHandler(self._exchange, tracker).handle, tracker)
-        # Guards operators against crowds of clients: callers have descriptors of their own.
-        callers = ConnectionTracker(clock, DescriptorBudget(MAX_MGMT_DESCRIPTORS + 1, 0), idle_divisor=1)
+        # A separate budget keeps the management address reachable when clients use up their descriptors.
+        mgmt_tracker = ConnectionTracker(clock, DescriptorBudget(MAX_MGMT_DESCRIPTORS + 1, 0), idle_divisor=1)
         path = state_path(config.state, config.name)
         self._cordons = Cordons(path, self._exchange.cordon)
         extras = {"rebalance": self._rebalancer.answer}
-        calls = HttpCallHandler(
-            AdminApi(self._exchange, self._cordons, self._lacking, extras).answer, callers
+        http_handler = HttpCallHandler(
+            AdminApi(self._exchange, self._cordons, self._lacking, extras).answer, mgmt_tracker
         )
-        management = Front("management", calls.handle, callers, MGMT_ACCEPTS_PER_TURN)
-        self._listening = Listening(config, clock, lines, channels, management, self._may_accept)
+        management = Front("management", http_handler.handle, mgmt_tracker, MGMT_ACCEPTS_PER_TURN)
+        self._listeners = ListenerManager(config, clock, lines, channels, management, self._may_accept)
         self._versions = VersionRegistry(path)
-        for budget in (self._budget, callers.budget):
-            budget.on_change = lambda: self._versions.publish_sockets(self._budget.used + callers.budget.used)
+        for budget in (self._budget, mgmt_tracker.budget):
+            budget.on_change = lambda: self._versions.publish_sockets(
+                self._budget.used + mgmt_tracker.budget.used
+            )
         self._budget.used_elsewhere = lambda: self._versions.descriptors_elsewhere
         self._tasks: anyio.abc.TaskGroup
-        self._connections: anyio.abc.TaskGroup  # what was accepted
+        self._connections: anyio.abc.TaskGroup  # accepted connections
         self._draining = False
-        self._reloads = 0  # SIGHUPs so far
-        self._reloading = 0  # of these, those that are not done
+        self._reload_count = 0  # SIGHUPs received
+        self._pending_reloads = 0  # reloads not finished
         self._ready = False
-        self._started = clock.now()
+        self._started_at = clock.now()
 
     async def run(self) -> None:
-        signums = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+        """Serve until a signal ends the process."""
+        handled_signals = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
         try:
             self._versions.register()
         except OSError as exc:
             log.error("version coordination unavailable", extra={"error": str(exc)})
         self._cordons.refresh()
-        with anyio.open_signal_receiver(*signums) as signals:
-            # Guards who comes at once against a signal that nobody obeys yet: its default ends the process.
-            listeners = await retry_transient(lambda: self._listening.bind(self._config), self._clock)
-            self._name_absent()
+        with anyio.open_signal_receiver(*handled_signals) as signals:
+            # Listen only once signals are handled: by default they would end the process and its connections.
+            listeners = await retry_transient(lambda: self._listeners.bind(self._config), self._clock)
+            self._log_absent_settings()
             async with anyio.create_task_group() as tasks:
                 self._tasks = tasks
                 tasks.start_soon(self._channel_servers.run)
@@ -146,17 +152,19 @@
                     self._start_rebalancing()
                 tasks.start_soon(self._watch_versions)
                 async with anyio.create_task_group() as self._connections:
-                    self._listening.listen(self._config, listeners, tasks, self._connections)
+                    self._listeners.listen(self._config, listeners, tasks, self._connections)
                     await self._obey(signals)
                     self._connections.cancel_scope.cancel()
                 tasks.cancel_scope.cancel()
         log.info("stopped")
 
-    def _name_absent(self) -> None:
-        """Guards operators against a meaning that nobody has chosen: what is not told is said."""
-        if self._config.absent:
-            named = ", ".join(f"{place}: {meaning}" for place, meaning in self._config.absent.items())
-            log.warning("settings absent", extra={"taken": named})
+    def _log_absent_settings(self) -> None:
+        """Log which settings are absent, with the defaults that apply instead."""
+        if self._config.absent_settings:
+            defaults = ", ".join(
+                f"{name}: {default}" for name, default in self._config.absent_settings.items()
+            )
+            log.warning("settings absent", extra={"taken": defaults})
 
     def _start_rebalancing(self) -> None:
         if self._exchange.observer is None:
@@ -164,70 +172,73 @@
             self._tasks.start_soon(self._rebalancer.run)
 
     async def _obey(self, signals: AsyncIterator[signal.Signals]) -> None:
-        """Take signals until one ends the process. A reload may come during a drain, and before one."""
+        """Handle signals until one ends the process; reloads are allowed during a drain."""
         async for signum in signals:
             if signum == signal.SIGHUP:
-                self._reloads += 1
-                self._reloading += 1
-                self._tasks.start_soon(self._reload, self._reloads)
+                self._reload_count += 1
+                self._pending_reloads += 1
+                self._tasks.start_soon(self._reload, self._reload_count)
                 continue
             log.info("stopping", extra={"signal": signal.Signals(signum).name})
             if signum != signal.SIGTERM:
                 return
             if self._draining:
-                # Guards the clients that are being moved: the plan of the end counts from the first signal.
+                # The shutdown plan counts from the first SIGTERM: a second one must not cut it short.
                 continue
             self._draining = True
             self._tasks.start_soon(self._shut_down, self._clock.now(), self._config.settings)
 
-    async def _told_before(self) -> it.Settings:
-        """The settings once a reload that was told before the end, or together with it, is done.
+    async def _settings_after_reload(self) -> it.Settings:
+        """Return the settings after reloads that were requested before or together with the shutdown.
 
-        Guards against a kill that counts by these: signals that are pending together come in any order.
+        The platform may schedule its kill by the reloaded settings, and signals that are pending together
+        are delivered in any order.
         """
-        await self._clock.sleep(SIGNALS_TOGETHER)
-        with self._clock.limit(RELOAD_MOST):
-            while self._reloading:
-                await self._clock.sleep(LAST_LOOK)
+        await self._clock.sleep(SIGNAL_REORDER_WINDOW_MS)
+        with self._clock.limit(MAX_RELOAD_WAIT_MS):
+            while self._pending_reloads:
+                await self._clock.sleep(SHUTDOWN_POLL_INTERVAL_MS)
         return self._config.settings
 
-    async def _shut_down(self, told: float, settings: it.Settings) -> None:
-        """End the process by the plan that counts from `told`, when `settings` were in force."""
-        known = (settings, await self._told_before())
+    async def _shut_down(self, signalled_at: float, settings: it.Settings) -> None:
+        """Shut down by the plan that counts from `signalled_at` (ms), when `settings` were in force."""
+        possible_settings = (settings, await self._settings_after_reload())
         self._versions.refresh()
         has_ready_successor = self._versions.has_ready_successor
-        plan = plan_shutdown(known, has_ready_successor=has_ready_successor)
-        spans = {"answer_ms": round(plan.answer_at), "close_ms": round(plan.close_at)}
-        log.info("shutdown", extra={**spans, "kill_ms": round(plan.kill_at)})
-        self._budget.close_at = told + plan.close_at
-        self._rebalancer.planner.paused = True  # everybody is moved now
+        plan = plan_shutdown(possible_settings, has_ready_successor=has_ready_successor)
+        plan_times = {"answer_ms": round(plan.answer_at), "close_ms": round(plan.close_at)}
+        log.info("shutdown", extra={**plan_times, "kill_ms": round(plan.kill_at)})
+        self._budget.close_at = signalled_at + plan.close_at
+        self._rebalancer.planner.paused = True  # the drain moves every client
         if has_ready_successor:
             self._keeper.let_go()
-        settle = max(0.0, told + plan.move_from - self._clock.now())
-        await self._exchange.drain(settle, told + plan.answer_at - self._clock.now() - settle)
-        await self._end_connections(told + plan.last_at)
+        settle_ms = max(0.0, signalled_at + plan.move_from - self._clock.now())
+        await self._exchange.drain(settle_ms, signalled_at + plan.answer_at - self._clock.now() - settle_ms)
+        await self._end_connections(signalled_at + plan.last_at)
         self._connections.cancel_scope.cancel()
 
-    async def _end_connections(self, last: float) -> None:
-        """Listen no more, answer those who wait or rest, and let the last ends arrive by the close.
+    async def _end_connections(self, deadline: float) -> None:
+        """Stop listening, answer waiting and idle clients, and wait until their connections have ended.
 
-        Guards a request that crosses the end of the process against a close over it, unread. `last` is when
-        even those are closed that have no answer yet, on the clock.
+        Requests that arrive during the shutdown are still read and answered, not cut off unread. At
+        `deadline` (clock ms) even connections without an answer are given up.
         """
-        self._listening.stop()
-        tracker = self._listening.lines.tracker  # both fronts have the same
+        self._listeners.stop()
+        tracker = self._listeners.lines.tracker  # shared by both client fronts
         close_at = self._budget.close_at
         while True:
             tracker.evict_all()
-            if self._clock.now() >= close_at - LAST_WORDS:
+            if self._clock.now() >= close_at - SESSION_CLOSE_LEAD_MS:
                 tracker.end_sessions()
-            await self._clock.sleep(LAST_LOOK)
+            await self._clock.sleep(SHUTDOWN_POLL_INTERVAL_MS)
             now = self._clock.now()
-            over = (now >= close_at and tracker.all_answered) or (self._listening.ended and tracker.is_empty)
-            if over or now >= last:
+            all_ended = (now >= close_at and tracker.all_answered) or (
+                self._listeners.all_stopped and tracker.is_empty
+            )
+            if all_ended or now >= deadline:
                 break
 
-    # Versions
+    # Version changes
 
     async def _watch_versions(self) -> None:
         while True:
@@ -236,70 +247,70 @@
                 self._keeper.hand_over()
             self._cordons.refresh()
             self._lacking()
-            self._succeeded()
-            await self._clock.sleep(LOOK)
+            self._stop_if_succeeded()
+            await self._clock.sleep(VERSION_POLL_INTERVAL_MS)
 
-    def _succeeded(self) -> bool:
-        """Whether this process is leaving and a later version is there: then that one alone accepts."""
+    def _stop_if_succeeded(self) -> bool:
+        """Stop accepting when this process is draining and a later version is ready; return whether so."""
         if not (self._draining and self._versions.has_ready_successor):
             return False
-        for front in self._listening.fronts:
+        for front in self._listeners.fronts:
             if front.stop():
                 log.info("succeeded", extra={"front": front.name})
         return True
 
     def _may_accept(self) -> bool:
-        """Whether clients are accepted: beside an earlier version only once this one can serve."""
+        """Whether to accept clients: next to an earlier version only once this process has a server list."""
         return self._exchange.has_server_list or not self._versions.has_predecessor
 
     def _lacking(self) -> str:
-        """What this process lacks to serve; nothing where it is ready."""
-        lack = ""
-        lines = self._listening.lines
+        """Publish whether this process is ready; return why it is not, or an empty string."""
+        reason = ""
+        lines = self._listeners.lines
         if not self._exchange.has_server_list:
-            lack = "no machine list yet"
+            reason = "no machine list yet"
         elif not self._cordons.in_sync:
-            lack = "the cordons cannot be read"
-        elif not lines.listeners or lines.scope is None:
-            lack = "not listening yet"
+            reason = "the cordons cannot be read"
+        elif not lines.acceptors or lines.scope is None:
+            reason = "not listening yet"
         elif not self._exchange.serving or lines.scope.cancel_called:
-            lack = "leaving"
-        elif self._versions.has_predecessor and self._clock.now() < self._started + HAND_OVER:
-            lack = "an earlier version has not handed over yet"
-        # Guards the change of versions: the old one's SIGTERM may follow a yes within milliseconds.
-        ready = not (lack or self._draining)
+            reason = "leaving"
+        elif self._versions.has_predecessor and self._clock.now() < self._started_at + HANDOVER_WAIT_MS:
+            reason = "an earlier version has not handed over yet"
+        # Not ready once draining: the platform may stop the old version within ms of a positive answer.
+        ready = not (reason or self._draining)
         if ready and not self._ready:
-            # As of the moment of the yes: until then the old version is the one that learns.
+            # Read the learned state only now: until this process is ready the old version updates it.
             self._keeper.take_over()
         self._ready = ready
         self._versions.publish_ready(ready)
-        return lack
+        return reason
 
-    # A new configuration
+    # Configuration reload
 
-    async def _reload(self, number: int) -> None:
-        """Take a new configuration whole or not at all; connections and what is known of servers stay.
+    async def _reload(self, reload_number: int) -> None:
+        """Apply a new configuration completely or not at all; connections and server state are kept.
 
-        `number` counts the signals for it: the last one reads the newest file, and those before give way.
+        `reload_number` counts reload signals: a reload that a later signal has superseded does nothing.
         """
 
-        def made() -> tuple[Config, Bound] | None:
-            if number != self._reloads:
+        def load_and_bind() -> tuple[Config, BoundListeners] | None:
+            if reload_number != self._reload_count:
                 return None
             config = self._load()
-            return config, self._listening.bind(config)
+            return config, self._listeners.bind(config)
 
         try:
-            loaded = await retry_transient(made, self._clock)
+            loaded = await retry_transient(load_and_bind, self._clock)
             if loaded is not None:
-                self._take_config(*loaded)
+                self._apply_config(*loaded)
         except (BadConfig, OSError) as exc:
             log.error("reload failed", extra={"error": str(exc)})
         finally:
-            self._reloading -= 1
+            self._pending_reloads -= 1
 
-    def _take_config(self, config: Config, made: Bound) -> None:
-        """Go by a configuration whose new addresses are bound."""
+    def _apply_config(self, config: Config, bound: BoundListeners) -> None:
+        """Switch to a configuration whose new addresses are already bound."""
         old, self._config = self._config, config
         if config.operators.state != old.operators.state:
             log.warning("state settings", extra={"in_force": "at the next start"})
@@ -316,11 +327,11 @@
         self._channel_servers.connect_timeout = config.settings.connect_timeout
         if config.discovery is not None:
             self._list.change_address(config.discovery, changed=config.discovery != old.discovery)
-        self._listening.listen(config, made, self._tasks, self._connections)
-        self._name_absent()
+        self._listeners.listen(config, bound, self._tasks, self._connections)
+        self._log_absent_settings()
         log.info("reloaded", extra={"balancer": config.name})
 
 
 async def serve(config: Config, clock: Clock, load: Callable[[], Config], starts: StartTimes) -> None:
-    """Serve until a signal ends it; `load` reads the configuration anew."""
+    """Serve until a signal ends the process; `load` rereads the configuration for a reload."""
     await Service(config, clock, load, starts).run()
--- a/puffinford/start.py
+++ b/puffinford/start.py
@@ -1,4 +1,4 @@
-"""Starts the serving process. Free of the command line's library, which serving has no use for."""
+"""Entry point of the serving process. Doesn't import click, to save memory."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 def serve_program(
     inventory: Path | None = None, settings: Path = DEFAULT_FILE, log_level: str = "INFO"
 ) -> int:
-    """Serve until SIGTERM or SIGINT; the exit code, 2 where the configuration cannot be used."""
+    """Serve until SIGTERM or SIGINT. Return the exit code: 2 if the configuration cannot be used."""
     clock = Clock()
-    starts = StartTimes(clock)
+    start_times = StartTimes(clock)
     try:
         logs.set_up(log_level)
-        # Guards against a reload asked for before it can be obeyed: by default the signal would end us.
+        # SIGHUP ends a process by default: ignore it until the service handles reloads.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
-        again = partial(load, os.environ, starts, inventory, settings)
-        anyio.run(serve, again(), clock, partial(again, again=True), starts)
+        load_config = partial(load, os.environ, start_times, inventory, settings)
+        anyio.run(serve, load_config(), clock, partial(load_config, reloading=True), start_times)
     except (BadConfig, BadInventory, OSError) as exc:
         for line in str(exc).splitlines() or [""]:
             print(f"puffinford: {line}", file=sys.stderr)
