--- a/puffinford/codec.py
+++ b/puffinford/codec.py
@@ -1,4 +1,4 @@
-"""The words of the wire and their meaning in the interface. No decisions."""
+"""Converts between the JSON of the simulator's adapter and the types of `puffinford.interface`."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class WireError(Exception):
-    """Input that does not follow the wire; the text names the event and the field."""
+    """Raised for malformed input; the message names the event and the field."""
 
 
-WHOLE_MOST = 1 << 53  # of a figure that is told as a whole number: what a float holds exactly
+MAX_EXACT_INTEGER = 1 << 53  # larger integers are not represented exactly as floats
 
 _RESULTS = {
     100: it.Result.OK,
@@ -47,13 +47,13 @@
 }
 
 
-def _bad(event: str, name: str, fields: Fields) -> WireError:
-    what = "is missing" if fields.get(name) is None else "has the wrong type or an unknown value"
-    return WireError(f"{event}: field {name} {what}")
+def _field_error(event: str, name: str, fields: Fields) -> WireError:
+    fault = "is missing" if fields.get(name) is None else "has the wrong type or an unknown value"
+    return WireError(f"{event}: field {name} {fault}")
 
 
 def is_text(value: object) -> TypeGuard[str]:
-    """Whether it is text that can be encoded: JSON may escape half a character, which nothing can keep."""
+    """Return whether `value` is a string without lone surrogates, which JSON escapes can produce."""
     if not isinstance(value, str):
         return False
     try:
@@ -64,9 +64,10 @@
 
 
 def text(event: str, fields: Fields, name: str) -> str:
+    """Return a required string field. Raises WireError."""
     value = fields.get(name)
     if not is_text(value):
-        raise _bad(event, name, fields)
+        raise _field_error(event, name, fields)
     return value
 
 
@@ -75,23 +76,25 @@
 
 
 def _is_number(value: object) -> TypeGuard[float]:
-    """Whether it is a finite number: a file's JSON may hold NaN, and every comparison lets it through."""
+    """Return whether `value` is a finite number: Python's JSON accepts NaN, which defeats range checks."""
     if type(value) is int:
-        return abs(value) <= WHOLE_MOST  # guards against one that no float can hold
+        return abs(value) <= MAX_EXACT_INTEGER  # a larger one may overflow a float
     return type(value) is float and math.isfinite(value)
 
 
 def number(event: str, fields: Fields, name: str) -> float:
+    """Return a required finite number. Raises WireError."""
     value = fields.get(name)
     if not _is_number(value):
-        raise _bad(event, name, fields)
+        raise _field_error(event, name, fields)
     return float(value)
 
 
 def integer(event: str, fields: Fields, name: str) -> int:
+    """Return a required integer. Raises WireError."""
     value = fields.get(name)
     if type(value) is not int:
-        raise _bad(event, name, fields)
+        raise _field_error(event, name, fields)
     return value
 
 
@@ -99,8 +102,8 @@
     if fields.get(name) is None:
         return default
     value = integer(event, fields, name)
-    if abs(value) > WHOLE_MOST:
-        raise _bad(event, name, fields)
+    if abs(value) > MAX_EXACT_INTEGER:
+        raise _field_error(event, name, fields)
     return value
 
 
@@ -113,44 +116,44 @@
     if value is None or value is False:
         return False
     if value is not True:
-        raise _bad(event, name, fields)
+        raise _field_error(event, name, fields)
     return True
 
 
 def _section(event: str, fields: Fields, name: str) -> Fields:
     value = fields.get(name, {})
     if type(value) is not dict:
-        raise _bad(event, name, fields)
+        raise _field_error(event, name, fields)
     return value
 
 
-def _listing(event: str, fields: Fields, name: str) -> list[Any]:
+def _list(event: str, fields: Fields, name: str) -> list[Any]:
     value = fields.get(name)
     if value is None:
         return []
     if type(value) is not list:
-        raise _bad(event, name, fields)
+        raise _field_error(event, name, fields)
     return value
 
 
-def _row(event: str, fields: Fields, name: str) -> list[float] | None:
+def _numbers(event: str, fields: Fields, name: str) -> list[float] | None:
     if fields.get(name) is None:
         return None
-    row = _listing(event, fields, name)
-    if not all(map(_is_number, row)):
-        raise _bad(event, name, fields)
-    return [float(value) for value in row]
+    values = _list(event, fields, name)
+    if not all(map(_is_number, values)):
+        raise _field_error(event, name, fields)
+    return [float(value) for value in values]
 
 
 def _choice(event: str, fields: Fields, name: str, choices: dict[Any, Any]) -> Any:
     value = fields.get(name)
     if type(value) not in (str, int) or value not in choices:
-        raise _bad(event, name, fields)
+        raise _field_error(event, name, fields)
     return choices[value]
 
 
 def parse_batch(line: bytes) -> tuple[float, list[tuple[str, Fields]]]:
-    """The clock of a batch and its events as name and fields."""
+    """Return the time of a batch (ms) and its events, each as a name and fields. Raises WireError."""
     try:
         batch = orjson.loads(line)
     except orjson.JSONDecodeError as exc:
@@ -159,13 +162,13 @@
         raise WireError("batch: not an object")
     now = number("batch", batch, "t")
     if type(batch.get("events")) is not list:
-        raise _bad("batch", "events", batch)
+        raise _field_error("batch", "events", batch)
     events: list[tuple[str, Fields]] = []
     for item in batch["events"]:
         if type(item) is not dict or len(item) != 1:
             raise WireError("batch: field events: an event is an object with one key")
         name, fields = next(iter(item.items()))
-        if name not in _KNOWN:
+        if name not in _EVENT_NAMES:
             raise WireError(f"{name}: unknown event")
         if type(fields) is not dict:
             raise WireError(f"{name}: not an object")
@@ -174,31 +177,32 @@
 
 
 def decode_hello(fields: Fields) -> tuple[int, it.Settings]:
+    """Return the random seed and the settings of a new instance. Raises WireError."""
     seed = integer("hello", fields, "rng_seed")
     if type(fields.get("facts")) is not dict:
-        raise _bad("hello", "facts", fields)
+        raise _field_error("hello", "facts", fields)
     return seed, decode_settings(fields["facts"])
 
 
-# What stands for a setting that is not told. Both sites tell all of these; a third may not.
-_ABSENT = {
+# Defaults, in words, of the settings that a site may leave out.
+_DEFAULT_DESCRIPTIONS = {
     "balancers": "1",
     "discovery": "lists are pushed",
     "me": "0",
-    "weight_source": "sizes are not told",
+    "weight_source": "servers have no weights",
     "domain.groups": "no groups",
-    "domain.message_aim": "no message is late",
-    "domain.mode": "connections end here",
-    "domain.tells_delay": "no notes of delay",
-    "domain.tells_load": "no notes of load",
-    "permissions.cancel": "attempts are not called off",
+    "domain.message_aim": "no target for message delays",
+    "domain.mode": "connections are proxied",
+    "domain.tells_delay": "no delay notifications",
+    "domain.tells_load": "no load notifications",
+    "permissions.cancel": "attempts are not cancelled",
     "permissions.connect_timeout": "250 ms",
     "permissions.max_attempts": "3",
     "permissions.may_probe": "no probes",
-    "permissions.retry_after": "refusals tell no time",
+    "permissions.retry_after": "refusals have no retry-after",
     "report.how": "no load reports",
     "rules.ask_within": "10 s",
-    "rules.cold_from": "servers start with all they can do",
+    "rules.cold_from": "servers start at full capacity",
     "rules.fall": "2 s",
     "rules.ramp_time": "servers are warm at once",
     "rules.tip_multiple": "3",
@@ -206,98 +210,99 @@
 
 
 def absent_settings(facts: Fields) -> dict[str, str]:
-    """The settings that are not told, by place, with what stands for each."""
+    """Return the settings that `facts` leaves out, by path, each with a description of its default."""
     absent = {}
-    for place, meaning in _ABSENT.items():
-        section, _, name = place.rpartition(".")
-        held = facts.get(section, {}) if section else facts
-        if isinstance(held, dict) and held.get(name) is None:
-            absent[place] = meaning
+    for path, default in _DEFAULT_DESCRIPTIONS.items():
+        section, _, name = path.rpartition(".")
+        settings = facts.get(section, {}) if section else facts
+        if isinstance(settings, dict) and settings.get(name) is None:
+            absent[path] = default
     return absent
 
 
 def decode_settings(facts: Fields) -> it.Settings:
+    """Decode a site's settings. Raises WireError for the field, ValueError for an invalid combination."""
     event = "hello.facts"
     domain = _section(event, facts, "domain")
     permissions = _section(event, facts, "permissions")
     rules = _section(event, facts, "rules")
     report = _section(event, facts, "report")
     tariffs = _section(event, facts, "tariffs")
-    aims = _listing("hello.facts.domain", domain, "message_aim")
+    aims = _list("hello.facts.domain", domain, "message_aim")
     classes = []
-    for index, entry in enumerate(_listing(event, facts, "classes")):
-        where = f"{event}.classes"
+    for index, entry in enumerate(_list(event, facts, "classes")):
+        path = f"{event}.classes"
         if type(entry) is not dict:
-            raise _bad(event, "classes", facts)
+            raise _field_error(event, "classes", facts)
         aim = aims[index] if index < len(aims) else 0.0
         if not _is_number(aim):
-            raise _bad("hello.facts.domain", "message_aim", domain)
+            raise _field_error("hello.facts.domain", "message_aim", domain)
         scope = {scope.value: scope for scope in it.Scope}
         classes.append(
             it.RequestClass(
-                name=text(where, entry, "name"),
-                deadline=number(where, entry, "give_up"),
-                aim=_number_or(where, entry, "aim", 0.0),
-                effect=_choice(where, entry, "repeat", _EFFECTS),
-                scope=_choice(where, entry, "group", scope) if "group" in entry else it.Scope.ALL,
-                window=_number_or(where, entry, "window", 0.0),
-                value=_number_or(where, entry, "gain", 1.0),
+                name=text(path, entry, "name"),
+                deadline=number(path, entry, "give_up"),
+                aim=_number_or(path, entry, "aim", 0.0),
+                effect=_choice(path, entry, "repeat", _EFFECTS),
+                scope=_choice(path, entry, "group", scope) if "group" in entry else it.Scope.ALL,
+                window=_number_or(path, entry, "window", 0.0),
+                value=_number_or(path, entry, "gain", 1.0),
                 message_aim=aim,
             )
         )
     tenants = []
-    quotas = _row("hello.facts.domain", domain, "tenant_quota_connections") or []
-    for index, entry in enumerate(_listing(event, facts, "customers")):
-        where = f"{event}.customers"
+    quotas = _numbers("hello.facts.domain", domain, "tenant_quota_connections") or []
+    for index, entry in enumerate(_list(event, facts, "customers")):
+        path = f"{event}.customers"
         if type(entry) is not dict:
-            raise _bad(event, "customers", facts)
+            raise _field_error(event, "customers", facts)
         tenants.append(
             it.Tenant(
-                name=text(where, entry, "name"),
-                share=_number_or(where, entry, "share", 0.0),
-                quota_per_s=_number_or(where, entry, "quota_per_s", 0.0),
+                name=text(path, entry, "name"),
+                share=_number_or(path, entry, "share", 0.0),
+                quota_per_s=_number_or(path, entry, "quota_per_s", 0.0),
                 quota=quotas[index] if index < len(quotas) else 0.0,
             )
         )
-    told = _flag("hello.facts.permissions", permissions, "retry_after")
+    may_suggest_wait = _flag("hello.facts.permissions", permissions, "retry_after")
     max_wait = _number_or("hello.facts.permissions", permissions, "max_retry_after", 0.0)
-    where = "hello.facts.rules"
-    limits = "hello.facts.permissions"
-    prices = "hello.facts.tariffs"
+    path = "hello.facts.rules"
+    permissions_path = "hello.facts.permissions"
+    tariffs_path = "hello.facts.tariffs"
     return it.Settings(
         classes=classes,
         tenants=tenants,
-        zones=[str(zone) for zone in _listing(event, facts, "dcs")],
+        zones=[str(zone) for zone in _list(event, facts, "dcs")],
         zone=_text_or(event, facts, "zone"),
         me=_integer_or(event, facts, "me", 0),
         balancers=_integer_or(event, facts, "balancers", 1),
         list_on_request=facts.get("discovery") == "subscribe",
-        ask_within=_number_or(where, rules, "ask_within", 10_000.0),
+        ask_within=_number_or(path, rules, "ask_within", 10_000.0),
         pass_through=domain.get("mode") == "pass",
         park=_number_or("hello.facts.domain", domain, "park", 0.0),
         tells_load=_flag("hello.facts.domain", domain, "tells_load"),
         tells_delay=_flag("hello.facts.domain", domain, "tells_delay"),
         grouped=_flag("hello.facts.domain", domain, "groups"),
-        max_attempts=_integer_or(limits, permissions, "max_attempts", 3),
-        max_retry_after=max_wait if told else 0.0,
-        connect_timeout=_number_or(limits, permissions, "connect_timeout", 250.0),
-        may_cancel=_flag(limits, permissions, "cancel"),
-        may_probe=_flag(limits, permissions, "may_probe"),
-        overlap=_flag(limits, permissions, "second_copies"),
+        max_attempts=_integer_or(permissions_path, permissions, "max_attempts", 3),
+        max_retry_after=max_wait if may_suggest_wait else 0.0,
+        connect_timeout=_number_or(permissions_path, permissions, "connect_timeout", 250.0),
+        may_cancel=_flag(permissions_path, permissions, "cancel"),
+        may_probe=_flag(permissions_path, permissions, "may_probe"),
+        overlap=_flag(permissions_path, permissions, "second_copies"),
         tick=_number_or(event, facts, "tick", 1.0),
-        answer_slack=_number_or(where, rules, "answer_slack", 0.0),
-        drain_grace=_number_or(where, rules, "stop_sending_within", 1_000.0),
-        cold_from=_number_or(where, rules, "cold_from", 1.0),
-        warm_time=_number_or(where, rules, "ramp_time", 0.0),
-        fall_multiple=_number_or(where, rules, "tip_multiple", 3.0),
-        fall_window=_number_or(where, rules, "fall", 2_000.0),
+        answer_slack=_number_or(path, rules, "answer_slack", 0.0),
+        drain_grace=_number_or(path, rules, "stop_sending_within", 1_000.0),
+        cold_from=_number_or(path, rules, "cold_from", 1.0),
+        warm_time=_number_or(path, rules, "ramp_time", 0.0),
+        fall_multiple=_number_or(path, rules, "tip_multiple", 3.0),
+        fall_window=_number_or(path, rules, "fall", 2_000.0),
         sized=facts.get("weight_source") in ("nominal", "rough"),
-        report_fields=[str(name) for name in _listing("hello.facts.report", report, "fields")],
+        report_fields=[str(name) for name in _list("hello.facts.report", report, "fields")],
         report_on_probe=report.get("how") == "pull",
         report_on_answer=report.get("how") == "piggyback",
-        probe_price=_number_or(prices, tariffs, "probe", 0.0),
-        move_price=_number_or(prices, tariffs, "moves", 0.0),
-        cross_zone_price=_number_or(prices, tariffs, "cross_zone", 0.0),
+        probe_price=_number_or(tariffs_path, tariffs, "probe", 0.0),
+        move_price=_number_or(tariffs_path, tariffs, "moves", 0.0),
+        cross_zone_price=_number_or(tariffs_path, tariffs, "cross_zone", 0.0),
         over_share_worth=_number_or(event, facts, "over_share_worth", 1.0),
         worth_by_work=facts.get("worth_by") == "work",
     )
@@ -305,9 +310,9 @@
 
 def _decode_targets(fields: Fields) -> it.Event:
     servers = []
-    for entry in _listing("targets", fields, "elements"):
+    for entry in _list("targets", fields, "elements"):
         if type(entry) is not dict:
-            raise _bad("targets", "elements", fields)
+            raise _field_error("targets", "elements", fields)
         servers.append(
             it.Server(
                 id=text("targets", entry, "server"),
@@ -378,7 +383,7 @@
         _choice(event, fields, "ending", _RESULTS),
         _number_or(event, fields, "wait_time", 0.0),
         _flag(event, fields, "complete"),
-        _row(event, fields, "health_info"),
+        _numbers(event, fields, "health_info"),
     )
 
 
@@ -395,7 +400,7 @@
         text("health", fields, "server"),
         _choice("health", fields, "ending", _RESULTS),
         _number_or("health", fields, "wait_time", 0.0),
-        _row("health", fields, "health_info"),
+        _numbers("health", fields, "health_info"),
     )
 
 
@@ -416,24 +421,27 @@
     "health": _decode_probe,
     "datagram": _decode_peer,
 }
-_KNOWN = frozenset(_DECODERS) | {"hello", "teardown"}
+_EVENT_NAMES = frozenset(_DECODERS) | {"hello", "teardown"}
 
 
 def decode_event(name: str, fields: Fields) -> it.Event:
+    """Decode an event other than hello and teardown. Raises WireError."""
     return _DECODERS[name](fields)
 
 
-def _millis(value: float) -> float:
-    return round(value, 3)  # the simulator counts microseconds
+def _round_ms(value: float) -> float:
+    return round(value, 3)  # the simulator's resolution is 1 us
 
 
 _ENCODERS: dict[type, Callable[[int, Any], dict[str, object]]] = {
-    it.Attempt: lambda i, a: {"place": {"i": i, "id": a.id, "server": a.server, "limit": _millis(a.timeout)}},
+    it.Attempt: lambda i, a: {
+        "place": {"i": i, "id": a.id, "server": a.server, "limit": _round_ms(a.timeout)}
+    },
     it.Cancel: lambda i, a: {"call_off": {"i": i, "id": a.id, "shot": a.attempt}},
-    it.Refuse: lambda i, a: {"turn_away": {"i": i, "id": a.id, "hold_off": _millis(a.retry_after)}},
+    it.Refuse: lambda i, a: {"turn_away": {"i": i, "id": a.id, "hold_off": _round_ms(a.retry_after)}},
     it.Fail: lambda i, a: {"abort": {"i": i, "id": a.id}},
     it.Move: lambda i, a: {"move": {"i": i, "id": a.id}},
-    it.SetTimer: lambda i, a: {"wake_at": {"i": i, "wait": _millis(a.delay + 0.0005), "token": a.token}},
+    it.SetTimer: lambda i, a: {"wake_at": {"i": i, "wait": _round_ms(a.delay + 0.0005), "token": a.token}},
     it.Probe: lambda i, a: {"health_check": {"i": i, "server": a.server}},
     it.CloseIdle: lambda i, a: {"close": {"i": i, "server": a.server}},
     it.Subscribe: lambda i, a: {"subscribe": {"i": i, "want": a.on}},
@@ -442,5 +450,6 @@
 }
 
 
-def encode_action(inst: int, action: it.Action) -> dict[str, object]:
-    return _ENCODERS[type(action)](inst, action)
+def encode_action(instance: int, action: it.Action) -> dict[str, object]:
+    """Encode an action of the instance with this number."""
+    return _ENCODERS[type(action)](instance, action)
--- a/puffinford/wirehost.py
+++ b/puffinford/wirehost.py
@@ -1,7 +1,7 @@
-"""Plays many balancers on the JSON-lines wire. It translates and decides nothing.
+"""The adapter to the simulator: runs any number of balancer instances on JSON lines over stdin and stdout.
 
-Each line read is a batch of events for any number of instances; each line written holds the actions.
-Malformed input ends the process with a plain line on standard error and exit code 2.
+Each input line is a batch of events; each output line holds the resulting actions. Malformed input ends the
+process with one line on standard error and exit code 2.
 """
 
 from __future__ import annotations
@@ -19,46 +19,46 @@
 
 
 class WireHost:
-    """The instances of one process; they share nothing."""
+    """The balancer instances of one process. They share no state."""
 
     def __init__(self) -> None:
         self._balancers: dict[int, Balancer] = {}
 
     def reply(self, line: bytes) -> bytes:
-        """Answer one batch."""
+        """Handle a batch of events and return the actions. Raises WireError."""
         now, pending = codec.parse_batch(line)
         actions: list[dict[str, object]] = []
         events: dict[int, list[Event]] = {}
         for name, fields in pending:
-            inst = codec.integer(name, fields, "i")
+            instance = codec.integer(name, fields, "i")
             if name == "hello":
                 seed, settings = codec.decode_hello(fields)
-                self._balancers[inst] = Balancer(settings, seed)
-                events.pop(inst, None)
+                self._balancers[instance] = Balancer(settings, seed)
+                events.pop(instance, None)
             elif name == "teardown":
-                self._balancers.pop(inst, None)
-                events.pop(inst, None)
+                self._balancers.pop(instance, None)
+                events.pop(instance, None)
             else:
-                if inst not in self._balancers:
-                    raise codec.WireError(f"{name}: field i: no instance {inst}")
+                if instance not in self._balancers:
+                    raise codec.WireError(f"{name}: field i: no instance {instance}")
                 event = codec.decode_event(name, fields)
-                held = events.get(inst)
-                if held is None:
-                    events[inst] = [event]
+                instance_events = events.get(instance)
+                if instance_events is None:
+                    events[instance] = [event]
                 else:
-                    held.append(event)
-        for inst, batch in events.items():
+                    instance_events.append(event)
+        for instance, batch in events.items():
             try:
-                for action in self._balancers[inst].handle(now, batch):
-                    actions.append(codec.encode_action(inst, action))
-            except Exception as exc:  # the day must end with the text, never silently
+                for action in self._balancers[instance].handle(now, batch):
+                    actions.append(codec.encode_action(instance, action))
+            except Exception as exc:  # reported to the simulator, which ends the run with the message
                 message = f"{type(exc).__name__}: {exc}"
-                actions.append({"broken": {"i": inst, "message": message}})
+                actions.append({"broken": {"i": instance, "message": message}})
         return orjson.dumps({"do": actions})
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
-    """Answer batches until the input ends."""
+    """Answer batches until the input ends. Return the exit code."""
     host = WireHost()
     for line in source:
         if not line.strip():
@@ -75,6 +75,7 @@
 
 
 def main() -> int:
+    """Serve standard input and output. Return the exit code."""
     return serve(sys.stdin.buffer, sys.stdout.buffer)
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter on frames."""
+"""The simulator's adapter: batches of events in, actions out, and the errors for malformed input."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 }
 
 
-def line(*events: dict[str, Any], now: float = 1_000.0) -> bytes:
+def batch(*events: dict[str, Any], now: float = 1_000.0) -> bytes:
     return json.dumps({"t": now, "events": list(events)}).encode()
 
 
@@ -41,38 +41,38 @@
 
 
 def actions(host: WireHost, *events: dict[str, Any], now: float = 1_000.0) -> list[dict[str, Any]]:
-    reply: dict[str, list[dict[str, Any]]] = json.loads(host.reply(line(*events, now=now)))
+    reply: dict[str, list[dict[str, Any]]] = json.loads(host.reply(batch(*events, now=now)))
     return reply["do"]
 
 
 def test_an_empty_batch() -> None:
-    assert WireHost().reply(line()) == b'{"do":[]}'
+    assert WireHost().reply(batch()) == b'{"do":[]}'
 
 
 def test_a_request_becomes_an_attempt_and_an_outcome_an_answer() -> None:
     host = WireHost()
-    placed = actions(host, hello(), {"targets": TARGETS}, request())
-    assert placed == [{"place": {"i": 0, "id": "a", "server": "10.0.0.1:80", "limit": 750.0}}]
-    back = {"i": 0, "id": "a", "server": "10.0.0.1:80", "ending": 302, "wait_time": 1.0}
-    (answer,) = [action for action in actions(host, {"report_back": back}) if "turn_away" in action]
+    placements = actions(host, hello(), {"targets": TARGETS}, request())
+    assert placements == [{"place": {"i": 0, "id": "a", "server": "10.0.0.1:80", "limit": 750.0}}]
+    outcome = {"i": 0, "id": "a", "server": "10.0.0.1:80", "ending": 302, "wait_time": 1.0}
+    (answer,) = [action for action in actions(host, {"report_back": outcome}) if "turn_away" in action]
     assert answer["turn_away"]["id"] == "a"
 
 
 def test_every_event_is_understood() -> None:
     host = WireHost()
-    at = {"i": 0, "id": "a", "server": "10.0.0.1:80"}
+    common = {"i": 0, "id": "a", "server": "10.0.0.1:80"}
     stream = [
         hello(),
         {"targets": TARGETS},
-        {"inherited": {**at, "id": "old", "type": "feed"}},
+        {"inherited": {**common, "id": "old", "type": "feed"}},
         request(),
-        {"streaming": {**at, "wait_time": 3.0}},
-        {"update_of": {**at, "kind": 1, "value": 500.0}},
-        {"update_of": {**at, "kind": 2, "value": 5.0}},
+        {"streaming": {**common, "wait_time": 3.0}},
+        {"update_of": {**common, "kind": 1, "value": 500.0}},
+        {"update_of": {**common, "kind": 2, "value": 5.0}},
         {"health": {"i": 0, "server": "10.0.0.1:80", "ending": 100, "health_info": [0.5]}},
         {"datagram": {"i": 0, "src_peer": 1, "blob": "aGk="}},
         {"reminder": {"i": 0, "token": 4}},
-        {"report_back": {**at, "ending": 100, "wait_time": 9.0, "complete": True, "health_info": [0.1]}},
+        {"report_back": {**common, "ending": 100, "wait_time": 9.0, "complete": True, "health_info": [0.1]}},
         {"client_left": {"i": 0, "id": "a"}},
         {"targets": {"i": 0, "kind": "unavailable", "version": 1}},
         {"teardown": {"i": 0}},
@@ -83,9 +83,9 @@
 def test_a_restart_in_one_batch_forgets_what_was_held() -> None:
     host = WireHost()
     actions(host, hello(), {"targets": TARGETS}, request())
-    again = actions(host, request("b"), {"teardown": {"i": 0}}, hello(), request("c"))
-    assert [next(iter(action)) for action in again] == ["turn_away"]
-    assert again[0]["turn_away"]["id"] == "c"
+    after_restart = actions(host, request("b"), {"teardown": {"i": 0}}, hello(), request("c"))
+    assert [next(iter(action)) for action in after_restart] == ["turn_away"]
+    assert after_restart[0]["turn_away"]["id"] == "c"
 
 
 def test_instances_share_nothing() -> None:
@@ -95,12 +95,12 @@
     assert answer["turn_away"]["i"] == 1
 
 
-def test_an_exception_in_an_instance_is_told() -> None:
+def test_an_exception_in_an_instance_is_reported() -> None:
     host = WireHost()
     actions(host, hello())
     unknown = {"new_request": {"i": 0, "id": "a", "grace": 9.0, "type": "no such class"}}
-    (told,) = actions(host, unknown)
-    assert "no such class" in told["broken"]["message"]
+    (reported,) = actions(host, unknown)
+    assert "no such class" in reported["broken"]["message"]
 
 
 @pytest.mark.parametrize(
@@ -108,38 +108,38 @@
     [
         (b"not json", ["not JSON"]),
         (b'{"events":[]}', ["batch", "t"]),
-        (line({"surprise": {"i": 0}}), ["surprise", "unknown"]),
-        (line({"reminder": {"token": 1}}), ["reminder", "i"]),
-        (line(hello(), {"new_request": {"i": 0, "id": "a", "type": "feed"}}), ["new_request", "grace"]),
+        (batch({"surprise": {"i": 0}}), ["surprise", "unknown"]),
+        (batch({"reminder": {"token": 1}}), ["reminder", "i"]),
+        (batch(hello(), {"new_request": {"i": 0, "id": "a", "type": "feed"}}), ["new_request", "grace"]),
         (
-            line(hello(), {"new_request": {"i": 0, "id": 7, "type": "feed", "grace": 1}}),
+            batch(hello(), {"new_request": {"i": 0, "id": 7, "type": "feed", "grace": 1}}),
             ["new_request", "id"],
         ),
-        (line(hello(), {"client_left": {"i": 0}}), ["client_left", "id"]),
-        (line(hello(), {"targets": {"i": 0, "kind": "odd"}}), ["targets", "kind"]),
+        (batch(hello(), {"client_left": {"i": 0}}), ["client_left", "id"]),
+        (batch(hello(), {"targets": {"i": 0, "kind": "odd"}}), ["targets", "kind"]),
         (
-            line(
+            batch(
                 hello(),
                 {"targets": {**TARGETS, "elements": [{"server": "s", "phase": "live", "rack_zone": 4}]}},
             ),
             ["targets", "rack_zone"],
         ),
-        (line(hello(classes=[])), ["classes"]),
-        (line(hello(rules={"ramp_time": -5.0})), ["warm_time"]),
-        (line(request("a", 9)), ["new_request", "9"]),
+        (batch(hello(classes=[])), ["classes"]),
+        (batch(hello(rules={"ramp_time": -5.0})), ["warm_time"]),
+        (batch(request("a", 9)), ["new_request", "9"]),
     ],
 )
 def test_malformed_input_is_named(raw: bytes, words: list[str], capsys: pytest.CaptureFixture[str]) -> None:
     sink = io.BytesIO()
     assert serve(io.BytesIO(raw + b"\n"), sink) == 2
     assert sink.getvalue() == b""
-    told = capsys.readouterr().err
-    assert told.count("\n") == 1
-    assert all(word in told for word in words)
+    errors = capsys.readouterr().err
+    assert errors.count("\n") == 1
+    assert all(word in errors for word in words)
 
 
 def test_the_program_ends_with_its_input() -> None:
-    done = subprocess.run(
-        [sys.executable, "-m", "puffinford.wirehost"], input=line() + b"\n", capture_output=True, check=False
+    completed = subprocess.run(
+        [sys.executable, "-m", "puffinford.wirehost"], input=batch() + b"\n", capture_output=True, check=False
     )
-    assert (done.returncode, done.stdout, done.stderr) == (0, b'{"do":[]}\n', b"")
+    assert (completed.returncode, completed.stdout, completed.stderr) == (0, b'{"do":[]}\n', b"")
