--- a/puffinford/cli/__init__.py
+++ b/puffinford/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line, on click. Serving alone goes past it: see `puffinford/__main__.py`."""
+"""The command line, built on click. Serving without a command bypasses it: see `puffinford/__main__.py`."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 VERSION = "0.2.0"
 
-FILE = click.Path(path_type=Path, dir_okay=False)
+FILE_TYPE = click.Path(path_type=Path, dir_okay=False)
 settings_option = click.option(
     "--settings",
-    type=FILE,
+    type=FILE_TYPE,
     default=DEFAULT_FILE,
     show_default=True,
     metavar="FILE",
-    help="The operators' file.",
+    help="The operators' settings file.",
 )
-json_option = click.option("--json", "as_json", is_flag=True, help="JSON in place of a table.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print JSON instead of text.")
 
 
 def fail(text: str, code: int = 2) -> None:
-    """End with each line of `text` on standard error."""
+    """Print each line of `text` on standard error and exit with `code`."""
     for line in text.splitlines():
         click.echo(f"puffinford: {line}", err=True)
     sys.exit(code)
@@ -42,13 +42,19 @@
 @click.group(invoke_without_command=True, context_settings={"help_option_names": ["-h", "--help"]})
 @click.pass_context
 def puffinford(context: click.Context) -> None:
-    """A balancer of long-lived connections. Without a command it serves."""
+    """A load balancer for long-lived connections. Without a command it serves."""
     if context.invoked_subcommand is None:
         sys.exit(serve_program())
 
 
 @puffinford.command()
-@click.option("--inventory", "inventory_file", type=FILE, metavar="FILE", help="Machines from CSV or YAML.")
+@click.option(
+    "--inventory",
+    "inventory_file",
+    type=FILE_TYPE,
+    metavar="FILE",
+    help="Read the server list from a CSV or YAML file.",
+)
 @settings_option
 @click.option(
     "--log-level", default="INFO", type=click.Choice(["DEBUG", "INFO", "WARNING", "ERROR"]), show_default=True
@@ -60,7 +66,7 @@
 
 @puffinford.command()
 def version() -> None:
-    """Print the version."""
+    """Print the version of puffinford."""
     try:
         click.echo(metadata.version("puffinford"))
     except metadata.PackageNotFoundError:
@@ -68,14 +74,14 @@
 
 
 @puffinford.command("inventory")
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_TYPE)
 def print_inventory(file: Path) -> None:
-    """Read an inventory and print its entries, and what is rejected."""
+    """Read an inventory file and print its entries and the rejected lines."""
     try:
-        machines, rejected = inventory.load(file, StartTimes(Clock()).local_time)
+        entries, rejected = inventory.load(file, StartTimes(Clock()).local_time)
     except inventory.BadInventory as exc:
         return fail(str(exc))
-    for entry in machines:
+    for entry in entries:
         server = entry.server
         line = f"{server.id} {entry.host}:{entry.port} {entry.front} {server.state.value} {server.zone}"
         click.echo(line.strip())
@@ -86,34 +92,44 @@
 @puffinford.command()
 @settings_option
 @click.option(
-    "--config", type=FILE, envvar="EDGE_CONFIG", metavar="FILE", help="The platform's file [EDGE_CONFIG]."
+    "--config",
+    type=FILE_TYPE,
+    envvar="EDGE_CONFIG",
+    metavar="FILE",
+    help="The platform's file [EDGE_CONFIG].",
+)
+@click.option(
+    "--inventory",
+    "inventory_file",
+    type=FILE_TYPE,
+    metavar="FILE",
+    help="Read the server list from a CSV or YAML file.",
 )
-@click.option("--inventory", "inventory_file", type=FILE, metavar="FILE", help="Machines from CSV or YAML.")
 @json_option
 def check(settings: Path, config: Path | None, inventory_file: Path | None, as_json: bool) -> None:
-    """Check all files; say what of the operators' would be in force, and from where.
+    """Check the configuration files and print the operators' settings with the source of each.
 
-    The platform's file and an inventory are checked where they are named.
+    The platform's file and the inventory are checked if they are given.
     """
-    wrong: list[str] = []
+    errors: list[str] = []
     loaded = LoadedSettings()
     try:
         loaded = load_settings(settings)
     except BadSettings as exc:
-        wrong += exc.errors
-    starts = StartTimes(Clock())
+        errors += exc.errors
+    start_times = StartTimes(Clock())
     if config is not None:
         try:
-            load({"EDGE_CONFIG": str(config)}, starts, inventory_file, DEFAULT_FILE)
+            load({"EDGE_CONFIG": str(config)}, start_times, inventory_file, DEFAULT_FILE)
         except BadConfig as exc:
-            wrong += [text for text in str(exc).splitlines() if text not in wrong]
+            errors += [text for text in str(exc).splitlines() if text not in errors]
     if inventory_file is not None:
         try:
-            wrong += inventory.load(inventory_file, starts.local_time)[1]
+            errors += inventory.load(inventory_file, start_times.local_time)[1]
         except inventory.BadInventory as exc:
-            wrong.append(str(exc))
-    if wrong:
-        return fail("\n".join(wrong))
+            errors.append(str(exc))
+    if errors:
+        return fail("\n".join(errors))
     rows = loaded.table()
     if as_json:
         keys = ("section", "keyword", "value", "from", "meaning")
@@ -123,7 +139,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run a command; its exit code."""
+    """Run a command and return its exit code."""
     from puffinford.cli.rebalance import rebalance
     from puffinford.cli.relay import relay
     from puffinford.cli.stage import stage
--- a/puffinford/cli/rebalance.py
+++ b/puffinford/cli/rebalance.py
@@ -1,4 +1,4 @@
-"""`puffinford rebalance`: watch and steer a running balancer through its second address."""
+"""`puffinford rebalance`: inspect and control rebalancing of a running balancer by its management address."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from puffinford.cli import fail, json_option
 from puffinford.text_table import format_table
 
-WAIT = 5.0  # seconds for a call
+CALL_TIMEOUT_S = 5.0
 
 
 def call(address: str, method: str, path: str) -> Any:
-    """One call of the second address; ends with the reason where it brings no yes."""
+    """Call the management address; return its JSON, or exit with an error unless the status is 200."""
     host, _, port = address.rpartition(":")
     try:
-        connection = http.client.HTTPConnection(host.strip("[]"), int(port), timeout=WAIT)
+        connection = http.client.HTTPConnection(host.strip("[]"), int(port), timeout=CALL_TIMEOUT_S)
         connection.request(method, path)
         reply = connection.getresponse()
         text = reply.read().decode("utf-8", "replace").strip()
@@ -31,11 +31,15 @@
 
 @click.group()
 @click.option(
-    "--address", required=True, envvar="EDGE_MGMT", metavar="IP:PORT", help="The second address [EDGE_MGMT]."
+    "--address",
+    required=True,
+    envvar="EDGE_MGMT",
+    metavar="IP:PORT",
+    help="The management address [EDGE_MGMT].",
 )
 @click.pass_context
 def rebalance(context: click.Context, address: str) -> None:
-    """Moving standing connections towards balance: what it does, and why what is not moved is not."""
+    """Inspect and control how established connections are moved between servers."""
     context.obj = address
 
 
@@ -43,32 +47,32 @@
 @json_option
 @click.pass_obj
 def show(address: str, as_json: bool) -> None:
-    """Print the plan, the progress, and the reasons."""
-    told = call(address, "GET", "/admin/rebalance")
+    """Print the state of rebalancing, its progress, and why connections are not moved."""
+    status = call(address, "GET", "/admin/rebalance")
     if as_json:
-        click.echo(json.dumps(told, indent=1))
+        click.echo(json.dumps(status, indent=1))
         return
     click.echo(
-        f"{told['state']}: {told['why']}; {told['ratio']:.2f} off the mean (1: none),"
-        f" {told['rate']:g} moves a second, {told['moves']} moved,"
-        f" {told['clients_at_rest']} at rest, {told['elsewhere']} seen no more here"
+        f"{status['state']}: {status['why']}; {status['ratio']:.2f} load imbalance (1: none),"
+        f" {status['rate']:g} moves per second, {status['moves']} moved,"
+        f" {status['clients_at_rest']} at rest, {status['elsewhere']} not seen again here"
     )
     for name, counts in (
-        ("signals", told["signals"]),
-        ("landed", told["landed"]),
-        ("not moved", told["left_out"]),
+        ("signals", status["signals"]),
+        ("landed", status["landed"]),
+        ("not moved", status["left_out"]),
     ):
         if counts:
-            click.echo(f"{name}: " + ", ".join(f"{what} {count}" for what, count in counts.items()))
+            click.echo(f"{name}: " + ", ".join(f"{key} {count}" for key, count in counts.items()))
     rows = [
         (
-            s["server"],
-            s["connections"],
-            f"{s['load']:.1f}",
-            f"{s['capacity']:.2f}",
-            "yes" if s["usable"] else "no",
+            server["server"],
+            server["connections"],
+            f"{server['load']:.1f}",
+            f"{server['capacity']:.2f}",
+            "yes" if server["usable"] else "no",
         )
-        for s in told["servers"]
+        for server in status["servers"]
     ]
     click.echo(format_table(("server", "connections", "load", "capacity", "target"), rows))
 
@@ -76,14 +80,14 @@
 @rebalance.command()
 @click.pass_obj
 def start(address: str) -> None:
-    """Go on after a pause."""
+    """Resume moving after a pause."""
     call(address, "POST", "/admin/rebalance/start")
 
 
 @rebalance.command()
 @click.pass_obj
 def pause(address: str) -> None:
-    """Move nothing until `start`, or the balancer's next start."""
+    """Move no connections until `start`, or until the balancer restarts."""
     call(address, "POST", "/admin/rebalance/pause")
 
 
@@ -91,5 +95,5 @@
 @click.argument("rate")
 @click.pass_obj
 def limit(address: str, rate: str) -> None:
-    """Move at most RATE, such as 2/s or 30/min, until the balancer's next start or reload."""
+    """Limit moves to RATE, such as 2/s or 30/min, until the balancer restarts or reloads."""
     call(address, "POST", "/admin/rebalance/limit/" + rate.replace("/", "-"))
--- a/puffinford/cli/relay.py
+++ b/puffinford/cli/relay.py
@@ -1,4 +1,4 @@
-"""`puffinford relay`: a relay of the server list."""
+"""`puffinford relay`: run a relay of the server list."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
     "--log-level", default="INFO", type=click.Choice(["DEBUG", "INFO", "WARNING", "ERROR"]), show_default=True
 )
 def relay(settings: Path, log_level: str) -> None:
-    """Watch the server list upstream once, and serve it to balancers, until SIGTERM or SIGINT.
+    """Relay the server list from discovery to balancers until SIGTERM or SIGINT.
 
-    What it goes by stands in `section relay` of the operators' file.
+    The relay is configured by `section relay` of the operators' settings file.
     """
     try:
         loaded = load_settings(settings)
--- a/puffinford/cli/stage.py
+++ b/puffinford/cli/stage.py
@@ -1,4 +1,4 @@
-"""`puffinford stage`: play stories with faults between many real processes, on loopback."""
+"""`puffinford stage`: run fault scenarios (stories) with many balancer processes on loopback."""
 
 from __future__ import annotations
 
@@ -20,32 +20,32 @@
 
 @click.group()
 def stage() -> None:
-    """Stories: many balancers as processes, and faults between them. All of it stays on this machine."""
+    """Run fault scenarios (stories) with many balancer processes, all on this host."""
 
 
 @stage.command("list")
 def list_stories() -> None:
-    """Name the stories that come with the program."""
+    """List the stories that are included."""
     rows = []
     for path in sorted(STORIES_DIRECTORY.glob("*.yaml")):
-        first = path.read_text(encoding="utf-8").partition("\n")[0]
-        rows.append((path.stem, first.removeprefix("# ")))
+        title = path.read_text(encoding="utf-8").partition("\n")[0]
+        rows.append((path.stem, title.removeprefix("# ")))
     click.echo(format_table(("story", "what happens"), rows))
 
 
 @stage.command()
 @click.argument("story")
-@click.option("--balancers", type=click.IntRange(1, 300), help="In place of the story's number.")
-@click.option("--seed", type=int, help="In place of the story's.")
-@click.option("--seconds", type=click.FloatRange(1.0, 3_600.0), help="In place of the story's.")
+@click.option("--balancers", type=click.IntRange(1, 300), help="Override the story's number of balancers.")
+@click.option("--seed", type=int, help="Override the story's seed.")
+@click.option("--seconds", type=click.FloatRange(1.0, 3_600.0), help="Override the story's duration.")
+@click.option("--rate", type=click.FloatRange(0.1, 5_000.0), help="Override the story's requests per second.")
 @click.option(
-    "--rate", type=click.FloatRange(0.1, 5_000.0), help="Openings a second, in place of the story's."
+    "--logs",
+    type=click.Path(path_type=Path, file_okay=False),
+    help="Keep the processes' logs in this directory.",
 )
 @click.option(
-    "--logs", type=click.Path(path_type=Path, file_okay=False), help="Keep the processes' logs there."
-)
-@click.option(
-    "--picture", type=click.Path(path_type=Path, dir_okay=False), help="Write a report, PNG or SVG."
+    "--picture", type=click.Path(path_type=Path, dir_okay=False), help="Write a chart, as PNG or SVG."
 )
 @json_option
 def play(
@@ -58,9 +58,9 @@
     picture: Path | None,
     as_json: bool,
 ) -> None:
-    """Play STORY, a file or the name of one that comes with the program.
+    """Run STORY, a file or the name of an included story.
 
-    The exit code is 1 where a rule was broken, and 2 where the story could not be played.
+    The exit code is 1 if a rule was broken, and 2 if the story could not be run.
     """
     try:
         from puffinford.stage.play import Failed, Play
@@ -72,14 +72,14 @@
     path = Path(story)
     if not path.exists() and (STORIES_DIRECTORY / f"{story}.yaml").exists():
         path = STORIES_DIRECTORY / f"{story}.yaml"
-    given = {"balancers": balancers, "seed": seed, "seconds": seconds, "rate": rate}
+    overrides = {"balancers": balancers, "seed": seed, "seconds": seconds, "rate": rate}
     try:
-        script = read_script(path, **{name: value for name, value in given.items() if value is not None})
+        script = read_script(path, **{name: value for name, value in overrides.items() if value is not None})
         if logs is not None:
             logs.mkdir(parents=True, exist_ok=True)
     except (BadScript, OSError) as exc:
         return fail(f"{path}: {exc}" if isinstance(exc, BadScript) else str(exc))
-    began = time.monotonic()
+    started_at = time.monotonic()
     with tempfile.TemporaryDirectory() if logs is None else nullcontext(str(logs)) as directory:
         played = Play(script, Path(directory))
         try:
@@ -90,29 +90,35 @@
     if picture is not None:
         report.picture(picture)
     if as_json:
-        told = {**report.figures(), "seconds": round(time.monotonic() - began, 1), "rules": report.broken}
-        click.echo(json.dumps(told, indent=1))
+        results = {
+            **report.figures(),
+            "seconds": round(time.monotonic() - started_at, 1),
+            "rules": report.broken,
+        }
+        click.echo(json.dumps(results, indent=1))
     else:
         click.echo(report.text())
-        links = played.relays
-        seen = f"{len(links.ports)} links, passed on {links.lateness:.0f} ms late at most"
-        seen += f"; the play itself {played.lateness:.0f} ms"
-        click.echo(f"\n{script.balancers} balancers, {seen}")
+        relays = played.relays
+        summary = f"{len(relays.ports)} links, forwarding at most {relays.lateness:.0f} ms late"
+        summary += f"; the story's own events by at most {played.lateness:.0f} ms"
+        click.echo(f"\n{script.balancers} balancers, {summary}")
     if report.broken:
         raise SystemExit(1)
 
 
 @stage.command()
-@click.option("--seeds", type=click.IntRange(1, 10_000), default=50, help="How many stories.")
+@click.option("--seeds", type=click.IntRange(1, 10_000), default=50, help="The number of stories.")
 @click.option("--first", type=int, default=1, help="The first seed.")
-@click.option("--balancers", type=click.IntRange(1, 300), default=30, help="Of a story, at most.")
+@click.option("--balancers", type=click.IntRange(1, 300), default=30, help="At most this many per story.")
 @click.option(
-    "--logs", type=click.Path(path_type=Path, file_okay=False), help="Keep the processes' logs there."
+    "--logs",
+    type=click.Path(path_type=Path, file_okay=False),
+    help="Keep the processes' logs in this directory.",
 )
 def soak(seeds: int, first: int, balancers: int, logs: Path | None) -> None:
-    """Play one drawn story a seed, and name every broken rule.
+    """Run one random story per seed and print every broken rule.
 
-    The exit code is 1 where one was broken or a story could not be played.
+    The exit code is 1 if a rule was broken or a story could not be run.
     """
     from puffinford.stage.play import Failed, Play
     from puffinford.stage.soak import breaches, draw
@@ -121,20 +127,24 @@
     for seed in range(first, first + seeds):
         script = draw(seed, balancers)
         with tempfile.TemporaryDirectory() if logs is None else nullcontext(str(logs)) as directory:
-            place = Path(directory, f"seed-{seed}")
-            place.mkdir(parents=True, exist_ok=True)
-            played = Play(script, place)
+            log_directory = Path(directory, f"seed-{seed}")
+            log_directory.mkdir(parents=True, exist_ok=True)
+            played = Play(script, log_directory)
             try:
                 trace = anyio.run(played.run)
             except Failed as exc:
-                found, asked = [f"not played: {exc}"], 0
+                violations, requests = [f"not run: {exc}"], 0
             else:
-                found = breaches(trace, script, played.lateness)
-                asked = sum(trace.count(EventKind.REQUESTED).values())
-        broken += bool(found)
-        head = f"seed {seed}: {script.balancers} balancers, {len(script.servers)} servers, {asked} asked"
+                violations = breaches(trace, script, played.lateness)
+                requests = sum(trace.count(EventKind.REQUESTED).values())
+        broken += bool(violations)
+        head = f"seed {seed}: {script.balancers} balancers, {len(script.servers)} servers, {requests} asked"
         head += f", {played.lateness:.0f} ms late"
-        click.echo("\n  ".join([f"{head}: {'kept' if not found else f'{len(found)} broken'}", *found[:8]]))
+        click.echo(
+            "\n  ".join(
+                [f"{head}: {'kept' if not violations else f'{len(violations)} broken'}", *violations[:8]]
+            )
+        )
     click.echo(f"soak seeds={seeds} first={first} broken={broken}")
     if broken:
         raise SystemExit(1)
--- a/puffinford/cli/state.py
+++ b/puffinford/cli/state.py
@@ -1,4 +1,4 @@
-"""`puffinford state`: look at a store, move it, mend it."""
+"""`puffinford state`: show, export, import, verify and compact the store of a balancer's state."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import click
 import msgspec
 
-from puffinford.cli import FILE, fail, json_option, settings_option
+from puffinford.cli import FILE_TYPE, fail, json_option, settings_option
 from puffinford.operators import BadSettings, load_settings
 from puffinford.operators.schema import StateSettings
 from puffinford.operators.units import show_duration, show_size
@@ -25,7 +25,7 @@
 
 
 class Exported(msgspec.Struct):
-    """A store as JSON: what `export` writes and `import` reads. Times are Unix ms."""
+    """The JSON document that `export` writes and `import` reads. Times are Unix ms."""
 
     format: str
     schema: int
@@ -35,33 +35,38 @@
     health: list[tuple[float, HealthRecord]]
 
 
-def _names(command: Any) -> Any:
-    """The options that say which store is meant."""
+def _store_options(command: Any) -> Any:
+    """Add the options that select a store."""
     command = click.option(
         "--name", default="", envvar="EDGE_NAME", metavar="NAME", help="The balancer's name [EDGE_NAME]."
     )(command)
     command = click.option(
-        "--file", type=FILE, metavar="FILE", help="The store's file; by default where the settings have it."
+        "--file",
+        type=FILE_TYPE,
+        metavar="FILE",
+        help="The store's file; by default, the one in the settings.",
     )(command)
     return settings_option(command)
 
 
-def _place(settings: Path, file: Path | None, name: str) -> tuple[Path, StateSettings]:
+def _locate_store(settings: Path, file: Path | None, name: str) -> tuple[Path, StateSettings]:
+    """Return the store's path and the settings of `section state`; exit with an error if there are none."""
     try:
-        told = load_settings(settings).settings.state
+        state_settings = load_settings(settings).settings.state
     except BadSettings as exc:
         fail(str(exc))
         raise
     if file is not None:
-        return file, told
-    place = store_file(told, os.environ.get("TMPDIR"), name)
-    if place is None:
+        return file, state_settings
+    location = store_file(state_settings, os.environ.get("TMPDIR"), name)
+    if location is None:
         fail("no store: neither `directory` of section state nor TMPDIR is set; name one with --file")
         raise AssertionError
-    return place[0], told
+    return location[0], state_settings
 
 
-def _inspect(path: Path) -> Stored:
+def _read_store(path: Path) -> Stored:
+    """Read a store without opening it for writing; exit with an error if it cannot be read."""
     try:
         return store.inspect(path)
     except store.StoreFailed as exc:
@@ -71,26 +76,26 @@
 
 @click.group()
 def state() -> None:
-    """The store of what outlives the process: the machine list, and what was learned of each server."""
+    """The store of state kept across restarts: the server list and the health of each server."""
 
 
-def _when(unix_ms: float) -> str:
+def _format_time(unix_ms: float) -> str:
     return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(unix_ms / 1_000.0)) if unix_ms else "-"
 
 
-def _old(unix_ms: float, now: float) -> str:
+def _format_age(unix_ms: float, now: float) -> str:
     return show_duration(round(max(0.0, now - unix_ms), -3)) if unix_ms <= now else "ahead"
 
 
 @state.command()
-@_names
+@_store_options
 @json_option
 def show(settings: Path, file: Path | None, name: str, as_json: bool) -> None:
-    """Print the list with its age and trust, and what was learned of each server."""
-    path, told = _place(settings, file, name)
-    stored = _inspect(path)
+    """Print the server list with its age and trust, and the health of each server."""
+    path, state_settings = _locate_store(settings, file, name)
+    stored = _read_store(path)
     now = time.time() * 1_000.0
-    level = trust(age(stored.confirmed, now), weights(told)) if stored.entries >= 0 else 0.0
+    trust_level = trust(age(stored.confirmed, now), weights(state_settings)) if stored.entries >= 0 else 0.0
     rows = []
     for ident, (server, confirmed) in sorted(stored.servers.items()):
         health = stored.health.get(ident)
@@ -102,55 +107,56 @@
                 server.front,
                 server.zone or "-",
                 server.version,
-                _old(confirmed, now),
-                _learned(health[0], now) if health else "-",
+                _format_age(confirmed, now),
+                _describe_health(health[0], now) if health else "-",
             )
         )
-    heads = ("server", "state", "address", "front", "zone", "version", "unchanged", "learned")
+    columns = ("server", "state", "address", "front", "zone", "version", "unchanged", "learned")
     if as_json:
-        told_list = {
+        document = {
             "file": str(path),
             "version": stored.version,
             "confirmed_ms": stored.confirmed,
-            "trust": round(level, 3),
+            "trust": round(trust_level, 3),
             "whole": stored.whole,
             "rejected": stored.rotten,
-            "servers": [dict(zip(heads, row, strict=True)) for row in rows],
+            "servers": [dict(zip(columns, row, strict=True)) for row in rows],
         }
-        click.echo(json.dumps(told_list, indent=1))
+        click.echo(json.dumps(document, indent=1))
         return
     click.echo(
-        f"{path}: version {stored.version}, confirmed {_when(stored.confirmed)}"
-        f" ({_old(stored.confirmed, now)} ago), trust {level:.2f},"
+        f"{path}: version {stored.version}, confirmed {_format_time(stored.confirmed)}"
+        f" ({_format_age(stored.confirmed, now)} ago), trust {trust_level:.2f},"
         f" {stored.listed} listed, {len(stored.servers) - stored.listed} left"
     )
     for text in stored.rotten:
         click.echo(f"rejected {text}")
     if rows:
-        click.echo(format_table(heads, rows))
+        click.echo(format_table(columns, rows))
 
 
-def _learned(health: HealthRecord, now: float) -> str:
+def _describe_health(health: HealthRecord, now: float) -> str:
+    """Describe what was learned of a server, in words."""
     parts = []
     if health.failures:
         parts.append(f"down after {health.failures} failures")
     if health.slow_until > now:
         parts.append(f"slow ({health.delay:.0f}ms a message)")
     if health.capacity_estimate >= 0:
-        parts.append(f"room {health.capacity_estimate:.1f}")
+        parts.append(f"capacity {health.capacity_estimate:.1f}")
     if health.cold_since:
-        parts.append(f"cold since {_when(health.cold_since)}")
+        parts.append(f"cold since {_format_time(health.cold_since)}")
     return ", ".join(parts) or "-"
 
 
 @state.command()
-@_names
+@_store_options
 @click.argument("to", type=click.File("w"), default="-")
 def export(settings: Path, file: Path | None, name: str, to: Any) -> None:
-    """Write the store as JSON to a file, or to standard output."""
-    path, _ = _place(settings, file, name)
-    stored = _inspect(path)
-    made = Exported(
+    """Export the store as JSON to a file, or to standard output."""
+    path, _ = _locate_store(settings, file, name)
+    stored = _read_store(path)
+    document = Exported(
         FORMAT,
         records.SCHEMA,
         stored.version,
@@ -158,31 +164,35 @@
         [(confirmed, record) for record, confirmed in stored.servers.values()],
         [(confirmed, record) for record, confirmed in stored.health.values()],
     )
-    to.write(msgspec.json.format(msgspec.json.encode(made), indent=1).decode() + "\n")
+    to.write(msgspec.json.format(msgspec.json.encode(document), indent=1).decode() + "\n")
 
 
 @state.command("import")
-@_names
+@_store_options
 @click.argument("source", type=click.File("rb"))
 def import_(settings: Path, file: Path | None, name: str, source: Any) -> None:
-    """Replace the store by an exported one. The balancer must not run."""
-    path, told = _place(settings, file, name)
+    """Replace the store with an exported one. The balancer must not be running."""
+    path, state_settings = _locate_store(settings, file, name)
     try:
-        read = msgspec.json.decode(source.read(), type=Exported)
-        if read.format != FORMAT or read.schema > records.SCHEMA:
-            raise ValueError(f"format {read.format!r} with schema {read.schema} is not one of ours")
+        document = msgspec.json.decode(source.read(), type=Exported)
+        if document.format != FORMAT or document.schema > records.SCHEMA:
+            raise ValueError(f"format {document.format!r} with schema {document.schema} is not supported")
     except (msgspec.MsgspecError, ValueError) as exc:
         return fail(f"{source.name}: {exc}")
-    pairs = [_pair(records.server_key(record.id), record, at) for at, record in read.servers]
-    pairs += [_pair(records.health_key(record.id), record, at) for at, record in read.health]
-    listed = sum(record.state != "left" for _, record in read.servers)
-    pairs.append(_pair(records.LIST_KEY, ListRecord(read.version, listed), read.confirmed))
+    pairs = [
+        _pair(records.server_key(record.id), record, confirmed) for confirmed, record in document.servers
+    ]
+    pairs += [
+        _pair(records.health_key(record.id), record, confirmed) for confirmed, record in document.health
+    ]
+    listed = sum(record.state != "left" for _, record in document.servers)
+    pairs.append(_pair(records.LIST_KEY, ListRecord(document.version, listed), document.confirmed))
     try:
         with store.writing(path):
-            store.copy_to(pairs, path, told.size)
+            store.copy_to(pairs, path, state_settings.size)
     except store.StoreFailed as exc:
         return fail(str(exc), 1)
-    click.echo(f"{path}: {len(read.servers)} servers, {len(read.health)} learned")
+    click.echo(f"{path}: {len(document.servers)} servers, {len(document.health)} learned")
 
 
 def _pair(key: bytes, record: records.Record, confirmed: float) -> tuple[bytes, bytes]:
@@ -190,40 +200,40 @@
 
 
 @state.command()
-@_names
+@_store_options
 @json_option
 def verify(settings: Path, file: Path | None, name: str, as_json: bool) -> None:
-    """Read every record. Exit code 1 where one cannot be used."""
-    path, _ = _place(settings, file, name)
-    stored = _inspect(path)
-    wrong = list(stored.rotten)
+    """Check every record of the store. The exit code is 1 if one is unusable."""
+    path, _ = _locate_store(settings, file, name)
+    stored = _read_store(path)
+    faults = list(stored.rotten)
     if stored.newer:
-        wrong.append(f"records of schema {stored.newer}, newer than {records.SCHEMA}")
+        faults.append(f"records of schema {stored.newer}, newer than {records.SCHEMA}")
     if stored.entries >= 0 and not stored.whole:
-        wrong.append(f"{stored.entries} servers were listed, {stored.listed} are there")
+        faults.append(f"{stored.entries} servers were listed, {stored.listed} are there")
     if as_json:
         counts = {"servers": len(stored.servers), "learned": len(stored.health)}
-        click.echo(json.dumps({"file": str(path), "sound": not wrong, "wrong": wrong, **counts}, indent=1))
-        return fail("", 1) if wrong else None
-    if wrong:
-        return fail("\n".join(f"{path}: {text}" for text in wrong), 1)
+        click.echo(json.dumps({"file": str(path), "sound": not faults, "wrong": faults, **counts}, indent=1))
+        return fail("", 1) if faults else None
+    if faults:
+        return fail("\n".join(f"{path}: {text}" for text in faults), 1)
     free = show_size(store.free_space(path) // (1 << 20) * (1 << 20))
     click.echo(f"{path}: sound; {len(stored.servers)} servers, {len(stored.health)} learned; {free} free")
 
 
 @state.command()
-@_names
+@_store_options
 def compact(settings: Path, file: Path | None, name: str) -> None:
-    """Make the store anew from its sound records. The balancer must not run."""
-    path, told = _place(settings, file, name)
+    """Rewrite the store from its valid records. The balancer must not be running."""
+    path, state_settings = _locate_store(settings, file, name)
     if not path.exists():
         return fail(f"{path}: no such store", 1)
-    before = path.stat().st_size
+    size_before = path.stat().st_size
     try:
         with store.writing(path):
-            renewal = store.renew(path, told.size)
+            renewal = store.renew(path, state_settings.size)
     except (store.StoreFailed, OSError) as exc:
         return fail(str(exc), 1)
     if renewal is not None:
         fail(f"{path}: {renewal.verdict.name.lower()}: {renewal.why} {renewal.aside}".rstrip(), 1)
-    click.echo(f"{path}: {show_size(before)} before, {show_size(path.stat().st_size)} now")
+    click.echo(f"{path}: {show_size(size_before)} before, {show_size(path.stat().st_size)} now")
