--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
-"""KNOWN-RED.txt: real faults that are still to be mended, three at most.
+"""Reads KNOWN-RED.txt, the list of known failures that are still to be fixed, three at most.
 
-A line is `TEST | COMMAND | SEEN | issue N`: TEST as pytest names it, or `none` where no test shows the fault;
-COMMAND with its seed makes it come; SEEN is what was seen then. CI passes over just these tests, and prints
-each entry with its result, also when it has passed.
+A line is `TEST | COMMAND | SEEN | issue N`. TEST is a pytest node id, or `none` if no test shows the fault;
+COMMAND, with its seed, reproduces it; SEEN is the observed failure. CI tolerates only these failures and
+prints each entry with its result.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-MOST = 3
+MAX_ENTRIES = 3
 NO_TEST = "none"
-FORM = "TEST | COMMAND | SEEN | issue N"
+LINE_FORMAT = "TEST | COMMAND | SEEN | issue N"
 _TEST = re.compile(rf"tests/\S+\.py::\S.*|{NO_TEST}")
 _ISSUE = re.compile(r"issue (\d+)")
 
 
 class BadKnownRed(Exception):
-    """The file cannot be used; the text names the line."""
+    """Raised for an unusable file; the message names the line."""
 
 
 @dataclass(frozen=True)
 class KnownRed:
-    """A known fault. `test` is empty where none shows it."""
+    """A known failure. `test` is empty if no test shows it."""
 
     test: str
     command: str
@@ -36,34 +36,34 @@
 
 
 def read(path: Path) -> list[KnownRed]:
-    """The file's entries; none where there is no file. Raises BadKnownRed."""
+    """Return the file's entries; an empty list if there is no file. Raises BadKnownRed."""
     if not path.exists():
         return []
-    listed: list[KnownRed] = []
+    entries: list[KnownRed] = []
     for number, line in enumerate(path.read_text().splitlines(), 1):
-        red = _entry(line)
+        red = _parse_entry(line)
         if red is None:
-            raise BadKnownRed(f"{path.name}:{number}: {line!r} is not {FORM}")
-        if any((other.test or other.command) == (red.test or red.command) for other in listed):
+            raise BadKnownRed(f"{path.name}:{number}: {line!r} is not {LINE_FORMAT}")
+        if any((other.test or other.command) == (red.test or red.command) for other in entries):
             raise BadKnownRed(f"{path.name}:{number}: {red.test or red.command} is listed twice")
-        listed.append(red)
-    if len(listed) > MOST:
-        raise BadKnownRed(f"{path.name}: {len(listed)} lines, {MOST} at most")
-    return listed
+        entries.append(red)
+    if len(entries) > MAX_ENTRIES:
+        raise BadKnownRed(f"{path.name}: {len(entries)} lines, {MAX_ENTRIES} at most")
+    return entries
 
 
-def _entry(line: str) -> KnownRed | None:
-    """The entry of a line; None where it is incomplete."""
+def _parse_entry(line: str) -> KnownRed | None:
+    """Parse a line; None if it is malformed."""
     parts = [part.strip() for part in line.split(" | ")]
     if len(parts) != 4 or not all(parts):
         return None
     test, command, seen, issue = parts
-    number = _ISSUE.fullmatch(issue)
-    if _TEST.fullmatch(test) is None or number is None:
+    issue_number = _ISSUE.fullmatch(issue)
+    if _TEST.fullmatch(test) is None or issue_number is None:
         return None
-    return KnownRed("" if test == NO_TEST else test, command, seen, int(number[1]))
+    return KnownRed("" if test == NO_TEST else test, command, seen, int(issue_number[1]))
 
 
-def absent(listed: list[KnownRed], collected: set[str]) -> list[str]:
-    """The listed tests that do not exist."""
-    return [red.test for red in listed if red.test and red.test not in collected]
+def absent(entries: list[KnownRed], collected: set[str]) -> list[str]:
+    """Return the tests of the entries that were not collected."""
+    return [red.test for red in entries if red.test and red.test not in collected]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests known to fail: what it may hold, and what a run makes of it."""
+"""KNOWN-RED.txt: malformed files are rejected, and a test run tolerates only the listed failures."""
 
 from __future__ import annotations
 
@@ -58,16 +58,16 @@
 
 
 def test_a_run_passes_over_just_the_listed_and_prints_each_with_its_result(tmp_path: Path) -> None:
-    done = run(
+    completed = run(
         tmp_path,
         "tests/test_a.py::test_red | make test | a | issue 7\n"
         "tests/test_a.py::test_green | make test | b | issue 8\n"
         "none | make soak FIRST=3 | c | issue 9\n",
     )
-    assert done.returncode == 0, done.stdout
-    assert "KNOWN-RED failed: tests/test_a.py::test_red: a (issue 7)" in done.stdout
-    assert "KNOWN-RED passed: tests/test_a.py::test_green: b (issue 8)" in done.stdout
-    assert "KNOWN-RED no test: make soak FIRST=3: c (issue 9)" in done.stdout
+    assert completed.returncode == 0, completed.stdout
+    assert "KNOWN-RED failed: tests/test_a.py::test_red: a (issue 7)" in completed.stdout
+    assert "KNOWN-RED passed: tests/test_a.py::test_green: b (issue 8)" in completed.stdout
+    assert "KNOWN-RED no test: make soak FIRST=3: c (issue 9)" in completed.stdout
 
 
 @pytest.mark.parametrize(
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as it is started: configuration, both fronts, the inventory, SIGTERM."""
+"""The program as a process: configuration, both client fronts, the inventory, reload and SIGTERM."""
 
 from __future__ import annotations
 
@@ -46,25 +46,25 @@
             await line.fin()
             await channel.stream.aclose()
             await running.wait_for_log(b"event=drained")
-            with contextlib.suppress(ProcessLookupError):  # it may have ended by itself
+            with contextlib.suppress(ProcessLookupError):  # the process may have exited already
                 process.send_signal(signal.SIGINT)
             assert await process.wait() == 0
 
 
 @pytest.mark.anyio
 async def test_a_reload_is_whole_or_not_at_all_and_sigterm_still_moves_everyone(tmp_path: Path) -> None:
-    """SIGHUP ended the process, and every connection with it."""
+    """Guards against a reload that ends the process or its connections."""
     config = tmp_path / "config.json"
     async with harness() as here:
         server = {"id": "s-1", "addr": f"127.0.0.1:{await here.listen(lambda s: echo(Peer(s)))}"}
-        asked: list[list[bytes]] = [[], []]
-        ports = [await here.listen(discovery(heard, server)) for heard in asked]
+        requests: list[list[bytes]] = [[], []]
+        ports = [await here.listen(discovery(lines, server)) for lines in requests]
 
-        def tell(port: int, classes: list[dict[str, object]]) -> None:
-            told = {"listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{port}"}
-            config.write_text(json.dumps({**told, "settings": {"classes": classes}}))
+        def write_config(port: int, classes: list[dict[str, object]]) -> None:
+            addresses = {"listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{port}"}
+            config.write_text(json.dumps({**addresses, "settings": {"classes": classes}}))
 
-        tell(ports[0], FACTS["classes"])
+        write_config(ports[0], FACTS["classes"])
         async with program(config, EDGE_DISCOVERY=f"127.0.0.1:{ports[0]}") as running:
             process, logged = running.process, running.wait_for_log
             port = await running.port(b"lines")
@@ -76,31 +76,33 @@
                 config.write_text(text)
                 process.send_signal(signal.SIGHUP)
                 await logged(b'level=error .*event="reload failed"')
-            assert not asked[1]
-            for turn in (1, 0, 1):
-                before = len(asked[turn])
-                tell(ports[turn], [*FACTS["classes"], {**FACTS["classes"][0], "name": f"new-{turn}"}])
+            assert not requests[1]
+            for source in (1, 0, 1):
+                before = len(requests[source])
+                write_config(
+                    ports[source], [*FACTS["classes"], {**FACTS["classes"][0], "name": f"new-{source}"}]
+                )
                 process.send_signal(signal.SIGHUP)
                 await logged(b"event=reloaded")
                 await logged(b"server=s-1 .*list=replace")
-                assert asked[turn][before].startswith(b"GET /v1/servers HTTP"), "the whole list"
+                assert requests[source][before].startswith(b"GET /v1/servers HTTP"), "the complete list"
                 await client.send_line(b"on")
                 assert await client.line() == b"on\r\n"
-            fresh = Peer(await anyio.connect_tcp("127.0.0.1", port))
-            await fresh.send_line(opening("0b", b"c=new-1,d=2000"))
-            assert await fresh.line() == b"UP r1\r\n"
+            second_client = Peer(await anyio.connect_tcp("127.0.0.1", port))
+            await second_client.send_line(opening("0b", b"c=new-1,d=2000"))
+            assert await second_client.line() == b"UP r1\r\n"
             process.send_signal(signal.SIGTERM)
-            for peer in (client, fresh):
+            for peer in (client, second_client):
                 assert [await peer.line(), await peer.line()] == [b"MOVE\r\n", b"FIN"]
                 await peer.fin()
             await logged(b"event=drained")
-            with contextlib.suppress(ProcessLookupError):  # it may have ended by itself
+            with contextlib.suppress(ProcessLookupError):  # the process may have exited already
                 process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
 
 
 @pytest.mark.parametrize(
-    "told",
+    "config_text",
     [
         "not json",
         json.dumps({"listen": "127.0.0.1:0", "settings": FACTS}),
@@ -112,19 +114,20 @@
         '{"listen": "127.0.0.1:0", "settings": {"classes": [{"name": 3}]}}',
     ],
 )
-def test_bad_configuration_is_one_line_and_exit_2(told: str, tmp_path: Path) -> None:
-    assert_refused(told, tmp_path)
+def test_bad_configuration_is_one_line_and_exit_2(config_text: str, tmp_path: Path) -> None:
+    assert_refused(config_text, tmp_path)
 
 
 @pytest.mark.parametrize("descriptor", ["x", "-1", "0", "999"])
 def test_a_descriptor_that_is_no_listening_socket_is_refused(descriptor: str, tmp_path: Path) -> None:
-    told = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": FACTS}
-    assert_refused(json.dumps(told), tmp_path, EDGE_SOCKET_FD=descriptor)
+    document = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": FACTS}
+    assert_refused(json.dumps(document), tmp_path, EDGE_SOCKET_FD=descriptor)
 
 
-def assert_refused(told: str, tmp_path: Path, **more: str) -> None:
-    (tmp_path / "config.json").write_text(told)
-    env = {**os.environ, "EDGE_CONFIG": str(tmp_path / "config.json"), **more}
-    done = subprocess.run([sys.executable, "-m", "puffinford"], env=env, capture_output=True, timeout=30)
-    assert done.returncode == 2
-    assert len(done.stderr.splitlines()) == 1 and done.stderr.startswith(b"puffinford: ")
+def assert_refused(config_text: str, tmp_path: Path, **environment: str) -> None:
+    """Assert that the program exits with code 2 and one line on standard error."""
+    (tmp_path / "config.json").write_text(config_text)
+    env = {**os.environ, "EDGE_CONFIG": str(tmp_path / "config.json"), **environment}
+    completed = subprocess.run([sys.executable, "-m", "puffinford"], env=env, capture_output=True, timeout=30)
+    assert completed.returncode == 2
+    assert len(completed.stderr.splitlines()) == 1 and completed.stderr.startswith(b"puffinford: ")
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The example of the README runs."""
+"""The README's example runs without errors."""
 
 import re
 from pathlib import Path
--- a/tests/test_terms_audit.py
+++ b/tests/test_terms_audit.py
@@ -1,4 +1,4 @@
-"""The audit's table: each test and function that it names exists, and each verdict is known."""
+"""docs/terms-audit.md: each test and function named in its table exists, and each verdict is a known one."""
 
 from __future__ import annotations
 
@@ -14,13 +14,14 @@
 
 
 def rows() -> list[list[str]]:
-    """The cells of each row of the first table, without its head."""
+    """Return the cells of each row of the table, without its two header lines."""
     lines = (ROOT / "docs" / "terms-audit.md").read_text().splitlines()
     table = [line for line in lines if line.startswith("|")]
     return [[cell.strip() for cell in line.strip("|").split("|")] for line in table[2:]]
 
 
 def functions_of(file: str) -> set[str]:
+    """Return the names of the functions at the top level of a test file."""
     tree = ast.parse((ROOT / "tests" / file).read_text())
     functions = (ast.FunctionDef, ast.AsyncFunctionDef)
     return {node.name for node in tree.body if isinstance(node, functions)}
@@ -35,12 +36,12 @@
 def test_a_row_names_what_there_is(row: list[str]) -> None:
     _, _, reading, code, tests, verdict = row
     assert verdict in VERDICTS and reading and code
-    assert tests or verdict in ("open", "not reached"), "a verdict that it holds needs its test"
-    for named in tests.split():
-        file, _, name = named.partition("::")
-        assert name in functions_of(file), named
-    for named in code.split():
-        module, _, path = named.partition(":")
-        place: object = importlib.import_module(f"puffinford.{module}")
-        for part in path.split("."):
-            place = getattr(place, part)
+    assert tests or verdict in ("open", "not reached"), "the verdict needs a test"
+    for reference in tests.split():
+        file, _, name = reference.partition("::")
+        assert name in functions_of(file), reference
+    for reference in code.split():
+        module, _, path = reference.partition(":")
+        target: object = importlib.import_module(f"puffinford.{module}")
+        for attribute in path.split("."):
+            target = getattr(target, attribute)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Stories of a new version that starts beside the old one, under load."""
+"""A new version of the program starts next to the old one and takes over without losing clients."""
 
 from __future__ import annotations
 
@@ -27,24 +27,24 @@
 async def test_the_old_version_hands_over_only_to_one_that_is_ready(
     tmp_path: Path, killed_first: bool
 ) -> None:
-    """The second process could not bind the address, and the old one went on accepting to its end."""
+    """Guards against an old version that goes on accepting after a new one is ready."""
     config, state = tmp_path / "config.json", tmp_path / "state"
     state.mkdir()
     platform = socket.create_server(("127.0.0.1", 0))
     port, fd = platform.getsockname()[1], platform.fileno()
-    asked: list[bytes] = []
+    discovery_requests: list[bytes] = []
     async with harness() as here:
         server = {"id": "s-1", "addr": f"127.0.0.1:{await here.listen(lambda s: echo(Peer(s)))}"}
-        told = {
+        addresses = {
             "listen": f"127.0.0.1:{port}",
-            "discovery": f"127.0.0.1:{await here.listen(discovery(asked, server))}",
+            "discovery": f"127.0.0.1:{await here.listen(discovery(discovery_requests, server))}",
         }
-        config.write_text(json.dumps({**told, "settings": FACTS}))
+        config.write_text(json.dumps({**addresses, "settings": FACTS}))
         env = {"TMPDIR": str(state), "EDGE_SOCKET_FD": str(fd), "EDGE_MGMT": "127.0.0.1:0"}
 
-        async def client(job: str) -> Peer:
+        async def client(request_id: str) -> Peer:
             peer = Peer(await anyio.connect_tcp("127.0.0.1", port))
-            await peer.send_line(opening(job))
+            await peer.send_line(opening(request_id))
             assert await peer.line() == b"UP r1\r\n"
             return peer
 
@@ -53,7 +53,7 @@
             first = await client("0a")
             if killed_first:
                 async with program(config, fds=[fd], **env) as dead:
-                    # From the store it asks for what is new alone: the list was waited for in vain then.
+                    # A version that starts from the store requests only changes of the list.
                     await dead.wait_for_log(b"event=discovery ")
                     dead.process.kill()
                     await dead.process.wait()
@@ -61,44 +61,47 @@
                 address = await new.port(b"management")
                 while (await http_call(address, "GET /admin/health"))[0] != 200:
                     await anyio.sleep(0.01)
-                half = Peer(await anyio.connect_tcp("127.0.0.1", port))
+                waiting = Peer(await anyio.connect_tcp("127.0.0.1", port))
                 old.process.send_signal(signal.SIGTERM)
                 await old.wait_for_log(b"event=succeeded")
                 assert [await first.line(), await first.line()] == [b"MOVE\r\n", b"FIN"]
                 await first.fin()
-                await half.send_line(opening("0b"))
-                assert await half.line() == b"UP r1\r\n", "whoever had accepted it, it is served"
+                await waiting.send_line(opening("0b"))
+                assert await waiting.line() == b"UP r1\r\n", "either version serves it"
                 second = await client("0c")
-                assert await old.process.wait() == 0, "it ends by itself"
+                assert await old.process.wait() == 0, "the old version exits by itself"
                 await second.send_line(b"on")
                 assert await second.line() == b"on\r\n"
                 new.process.send_signal(signal.SIGTERM)
                 await new.wait_for_log(b"event=stopping")
-                await (await client("0d")).fin()  # no successor: arrivals are served on
+                await (await client("0d")).fin()  # without a successor, new clients are still served
                 new.process.kill()
     platform.close()
 
 
 @pytest.mark.anyio
 async def test_the_channel_front_changes_versions_too(tmp_path: Path) -> None:
-    """Both listen at its address; whoever comes once the old one has stopped is the new one's."""
+    """Guards against clients of the channel front that connect to an old version which has stopped."""
     config, channels, state = tmp_path / "config.json", tmp_path / "puffinford.conf", tmp_path / "state"
     state.mkdir()
-    platform, place = socket.create_server(("127.0.0.1", 0)), socket.socket()
-    place.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    place.bind(("127.0.0.1", 0))
-    port, fd = place.getsockname()[1], platform.fileno()
+    platform, reserved = socket.create_server(("127.0.0.1", 0)), socket.socket()
+    reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    reserved.bind(("127.0.0.1", 0))
+    port, fd = reserved.getsockname()[1], platform.fileno()
     channels.write_text(f"section channels\n enabled on\n listen 127.0.0.1:{port}\n")
     async with harness() as here:
         server = {"id": "s-1", "addr": f"127.0.0.1:{await here.listen(lambda s: echo(Peer(s)))}"}
-        told = {"listen": "127.0.0.1:1", "discovery": f"127.0.0.1:{await here.listen(discovery([], server))}"}
-        config.write_text(json.dumps({**told, "settings": FACTS}))
+        addresses = {
+            "listen": "127.0.0.1:1",
+            "discovery": f"127.0.0.1:{await here.listen(discovery([], server))}",
+        }
+        config.write_text(json.dumps({**addresses, "settings": FACTS}))
         env = {"TMPDIR": str(state), "EDGE_SOCKET_FD": str(fd), "EDGE_MGMT": "127.0.0.1:0"}
         words = ("serve", "--settings", str(channels))
 
-        async def client(job: str) -> ChannelPeer:
+        async def client(request_id: str) -> ChannelPeer:
             peer = await ChannelPeer(await anyio.connect_tcp("127.0.0.1", port)).hello()
-            await peer.open(1, job)
+            await peer.open(1, request_id)
             assert isinstance(await peer.next(), codec.OpenConfirmation)
             return peer
 
@@ -118,7 +121,7 @@
                 await new.wait_for_log(b"event=up request=0b")
                 new.process.kill()
     platform.close()
-    place.close()
+    reserved.close()
 
 
 def test_versions_share_their_limits_and_a_dead_one_counts_for_nothing(tmp_path: Path) -> None:
@@ -148,23 +151,23 @@
 
 @pytest.mark.anyio
 async def test_an_old_version_ends_what_rests_before_the_earliest_kill(tmp_path: Path) -> None:
-    """Beside its successor too: who rests asks at any moment from SIGTERM until past the kill at 1.1 s."""
+    """Guards against an idle client whose request is cut off unanswered while its balancer shuts down."""
     config, state = tmp_path / "config.json", tmp_path / "state"
     state.mkdir()
     platform = socket.create_server(("127.0.0.1", 0))
     port, fd = platform.getsockname()[1], platform.fileno()
     async with harness() as here:
         server = {"id": "s-1", "addr": f"127.0.0.1:{await here.listen(lambda s: echo(Peer(s)))}"}
-        told = {
+        addresses = {
             "listen": f"127.0.0.1:{port}",
             "discovery": f"127.0.0.1:{await here.listen(discovery([], server))}",
         }
-        config.write_text(json.dumps({**told, "settings": FACTS}))
+        config.write_text(json.dumps({**addresses, "settings": FACTS}))
         env = {"TMPDIR": str(state), "EDGE_SOCKET_FD": str(fd), "EDGE_MGMT": "127.0.0.1:0"}
         async with program(config, fds=[fd], **env) as old:
             await old.wait_for_log(b"list=replace")
-            resting = [Peer(await anyio.connect_tcp("127.0.0.1", port)) for _ in range(24)]
-            for peer in resting:
+            idle_clients = [Peer(await anyio.connect_tcp("127.0.0.1", port)) for _ in range(24)]
+            for peer in idle_clients:
                 await peer.send_line(b"PING")
                 assert await peer.line() == b"PONG\r\n"
             async with program(config, fds=[fd], **env) as new:
@@ -172,24 +175,24 @@
                 while (await http_call(address, "GET /admin/health"))[0] != 200:
                     await anyio.sleep(0.01)
                 old.process.send_signal(signal.SIGTERM)
-                kill = anyio.current_time() + FACTS["classes"][0]["give_up"] / 1_000.0 + 0.7
+                kill_at = anyio.current_time() + FACTS["classes"][0]["give_up"] / 1_000.0 + 0.7
 
                 async def ask(peer: Peer, number: int) -> None:
-                    await anyio.sleep_until(kill + 0.02 - 1.1 * number / len(resting))
+                    await anyio.sleep_until(kill_at + 0.02 - 1.1 * number / len(idle_clients))
                     with contextlib.suppress(anyio.BrokenResourceError):
                         await peer.send_line(opening(f"0{number}"))
 
-                async def hear(peer: Peer) -> None:
+                async def expect_answer(peer: Peer) -> None:
                     answer = (await peer.line()).split()[0]
                     assert answer in (b"UP", b"BUSY", b"ERR")
                     if answer == b"UP":
                         assert await peer.line() == b"MOVE\r\n"
                     assert await peer.line() == b"FIN"
-                    assert anyio.current_time() < kill
+                    assert anyio.current_time() < kill_at
 
                 async with anyio.create_task_group() as tasks:
-                    for number, peer in enumerate(resting):
-                        tasks.start_soon(hear, peer)
+                    for number, peer in enumerate(idle_clients):
+                        tasks.start_soon(expect_answer, peer)
                         tasks.start_soon(ask, peer, number)
                 new.process.kill()
             assert await old.process.wait() == 0
