--- a/puffinford/config.py
+++ b/puffinford/config.py
@@ -93,13 +93,13 @@
 
 def load(
     env: Mapping[str, str],
-    starts: StartTimes,
+    start_times: StartTimes,
     inventory: Path | None = None,
     operators: Path = DEFAULT_FILE,
     *,
     reloading: bool = False,
 ) -> Config:
-    """Read the configuration; on a reload the file overrides the environment. Raises BadConfig."""
+    """Read the configuration. On a reload its addresses override the environment. Raises BadConfig."""
     path = env.get("EDGE_CONFIG")
     if not path:
         raise BadConfig("EDGE_CONFIG is not set")
@@ -135,7 +135,7 @@
         try:
             known = parse_server_list(
                 document["known"],
-                starts,
+                start_times,
                 lambda text: log.warning("known entry rejected", extra={"error": text}),
             )
         except BadEntry as exc:
--- a/puffinford/listening.py
+++ b/puffinford/listening.py
@@ -1,4 +1,4 @@
-"""ListenerManager sockets: binds them as the configuration says and accepts connections for each front."""
+"""Listening sockets: binds them as the configuration says and accepts connections for each front."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     local_address,
 )
 
-log = logging.getLogger("puffinford.serve")  # operators find these lines by `from`
+log = logging.getLogger("puffinford.serve")  # keeps the `from` field that operators search for
 
 MAY_ACCEPT_POLL_INTERVAL_MS = 50.0
 
--- a/puffinford/serve.py
+++ b/puffinford/serve.py
@@ -54,8 +54,10 @@
 class Service:
     """The components of one balancer process, from start to shutdown."""
 
-    def __init__(self, config: Config, clock: Clock, load: Callable[[], Config], starts: StartTimes) -> None:
-        """`load` rereads the configuration; `starts` converts server start times, as in `config.known`."""
+    def __init__(
+        self, config: Config, clock: Clock, load: Callable[[], Config], start_times: StartTimes
+    ) -> None:
+        """`load` rereads the configuration; `start_times` has converted those of `config.known`."""
         self._config = config
         self._clock = clock
         self._load = load
@@ -90,10 +92,10 @@
             self._rebalancer.kept,
             self._rebalancer.go_on,
             frozenset(cls.name for cls in config.settings.classes),
-            starts,
+            start_times,
         )
         start = self._keeper.start(config.known)
-        self._list = ListClient(exchange, start, clock, self._keeper.note_list, starts)
+        self._list = ListClient(exchange, start, clock, self._keeper.note_list, start_times)
         if config.inventory is not None:
             self._list.read(config.inventory)
         else:
@@ -277,7 +279,7 @@
             reason = "leaving"
         elif self._versions.has_predecessor and self._clock.now() < self._started_at + HANDOVER_WAIT_MS:
             reason = "an earlier version has not handed over yet"
-        # Not ready once draining: the platform may stop the old version within ms of a positive answer.
+        # The platform may stop the old version within milliseconds of a positive answer.
         ready = not (reason or self._draining)
         if ready and not self._ready:
             # Read the learned state only now: until this process is ready the old version updates it.
@@ -332,6 +334,6 @@
         log.info("reloaded", extra={"balancer": config.name})
 
 
-async def serve(config: Config, clock: Clock, load: Callable[[], Config], starts: StartTimes) -> None:
+async def serve(config: Config, clock: Clock, load: Callable[[], Config], start_times: StartTimes) -> None:
     """Serve until a signal ends the process; `load` rereads the configuration for a reload."""
-    await Service(config, clock, load, starts).run()
+    await Service(config, clock, load, start_times).run()
