--- a/puffinford/relay/__init__.py
+++ b/puffinford/relay/__init__.py
@@ -1,1 +1,1 @@
-"""The list relay: it watches the server list upstream once, and serves the same protocol downstream."""
+"""Server list relay: watches the list service once and serves the same protocol to many balancers."""
--- a/puffinford/relay/admission.py
+++ b/puffinford/relay/admission.py
@@ -1,6 +1,7 @@
-"""Turns for answers that are long: bounded bytes of them are being written at once. No I/O; times are ms.
+"""Admission control for long answers: bounds the bytes in flight to all callers. No I/O; times are in ms.
 
-Guards memory, and the news of all others, against a herd that asks for whole lists.
+Prevents many callers that request the full list at once from exhausting memory and delaying updates to the
+others.
 """
 
 from __future__ import annotations
@@ -10,75 +11,74 @@
 from enum import Enum
 
 
-class Turn(Enum):
-    NOW = "now"
-    LATER = "later"  # it will be among those that `next` names, or `expired`
-    NEVER = "never"  # too many wait already
+class AdmissionResult(Enum):
+    ADMITTED = "now"
+    QUEUED = "later"  # returned later by `admit_queued` or by `remove_expired`
+    REJECTED = "never"  # the queue is full
 
 
 @dataclass(frozen=True, slots=True)
-class _Waiting:
+class _QueuedAnswer:
     size: int
-    until: float
+    deadline: float
 
 
 class Admission:
-    """First come, first served. One answer is let through alone, whatever its size."""
+    """Admits answers in arrival order. With nothing in flight, one answer is admitted whatever its size."""
 
-    def __init__(self, size_most: int, waiting_most: int, patience: float) -> None:
-        self._size_most = size_most
-        self._waiting_most = waiting_most
-        self._patience = patience
-        self._writing: dict[Hashable, int] = {}
-        self._waiting: dict[Hashable, _Waiting] = {}
-        self.size = 0  # bytes being written
+    def __init__(self, max_bytes: int, max_queued: int, queue_timeout: float) -> None:
+        self._max_bytes = max_bytes
+        self._max_queued = max_queued
+        self._queue_timeout = queue_timeout
+        self._in_flight: dict[Hashable, int] = {}
+        self._queue: dict[Hashable, _QueuedAnswer] = {}
+        self.bytes_in_flight = 0
 
     @property
-    def waiting(self) -> int:
-        """How many wait for their turn."""
-        return len(self._waiting)
+    def queue_length(self) -> int:
+        return len(self._queue)
 
-    def ask(self, caller: Hashable, size: int, now: float) -> Turn:
-        """Whether `size` bytes may be written to this caller."""
-        if not self._waiting and self._fits(size):
+    def request(self, caller: Hashable, size: int, now: float) -> AdmissionResult:
+        """Ask to write an answer of `size` bytes to `caller`."""
+        if not self._queue and self._fits(size):
             self._start(caller, size)
-            return Turn.NOW
-        if len(self._waiting) >= self._waiting_most:
-            return Turn.NEVER
-        self._waiting[caller] = _Waiting(size, now + self._patience)
-        return Turn.LATER
-
-    def done(self, caller: Hashable) -> None:
-        """The caller's answer is written, or the caller has gone."""
-        self.size -= self._writing.pop(caller, 0)
-        self._waiting.pop(caller, None)
-
-    def next(self) -> list[Hashable]:
-        """Those whose turn it is now; their bytes count as being written from now on."""
-        started: list[Hashable] = []
-        while self._waiting:
-            caller, first = next(iter(self._waiting.items()))
+            return AdmissionResult.ADMITTED
+        if len(self._queue) >= self._max_queued:
+            return AdmissionResult.REJECTED
+        self._queue[caller] = _QueuedAnswer(size, now + self._queue_timeout)
+        return AdmissionResult.QUEUED
+
+    def release(self, caller: Hashable) -> None:
+        """Free what the caller holds: its answer is written, or it has disconnected."""
+        self.bytes_in_flight -= self._in_flight.pop(caller, 0)
+        self._queue.pop(caller, None)
+
+    def admit_queued(self) -> list[Hashable]:
+        """Admit the queued callers whose answers fit, and return them."""
+        admitted: list[Hashable] = []
+        while self._queue:
+            caller, first = next(iter(self._queue.items()))
             if not self._fits(first.size):
                 break
-            del self._waiting[caller]
+            del self._queue[caller]
             self._start(caller, first.size)
-            started.append(caller)
-        return started
-
-    def expired(self, now: float) -> list[Hashable]:
-        """Those who have waited too long, and wait no more."""
-        gone: list[Hashable] = []
-        while self._waiting:
-            caller, first = next(iter(self._waiting.items()))
-            if first.until > now:
+            admitted.append(caller)
+        return admitted
+
+    def remove_expired(self, now: float) -> list[Hashable]:
+        """Remove the callers that have been queued beyond the timeout, and return them."""
+        expired: list[Hashable] = []
+        while self._queue:
+            caller, first = next(iter(self._queue.items()))
+            if first.deadline > now:
                 break
-            del self._waiting[caller]
-            gone.append(caller)
-        return gone
+            del self._queue[caller]
+            expired.append(caller)
+        return expired
 
     def _fits(self, size: int) -> bool:
-        return not self._writing or self.size + size <= self._size_most
+        return not self._in_flight or self.bytes_in_flight + size <= self._max_bytes
 
     def _start(self, caller: Hashable, size: int) -> None:
-        self._writing[caller] = size
-        self.size += size
+        self._in_flight[caller] = size
+        self.bytes_in_flight += size
--- a/puffinford/relay/changes.py
+++ b/puffinford/relay/changes.py
@@ -1,22 +1,22 @@
-"""The list in force and a bounded log of its changes. No I/O, no clock.
+"""The current server list and a bounded log of its changes. No I/O, no clock.
 
-The log holds the latest change of each server, the one that changed longest ago first; the oldest go when it
-is over its bounds. A call that goes on from a version before `floor` gets the whole list.
+The log holds the latest change of each server, oldest first; the oldest changes are dropped when a limit is
+exceeded. A call that resumes from a version before `min_resumable_version` gets the full list.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from puffinford.relay.entries import LEFT, RawEntry, RawList, left
+from puffinford.relay.entries import LEFT, RawEntry, RawList, as_left
 
 
 @dataclass(frozen=True, slots=True)
 class LogLimits:
-    """What the log may hold: so many entries, and bytes of their JSON."""
+    """Bounds of the log; `max_bytes` counts the JSON of the logged entries."""
 
-    entries: int
-    size: int
+    max_entries: int
+    max_bytes: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,101 +26,104 @@
 
 
 class ChangeLog:
-    """The list, the log, and bad news of a doubted answer, which belong to no version."""
+    """The list, the log, and changes for the worse from unconfirmed answers, which belong to no version."""
 
     def __init__(self, limits: LogLimits) -> None:
         self._limits = limits
         self._entries: dict[str, RawEntry] = {}
         self._log: dict[str, Change] = {}
-        self._notices: dict[str, bytes] = {}
-        self._log_size = 0
+        self._unconfirmed: dict[str, bytes] = {}
+        self._log_bytes = 0
         self.version: int | None = None
-        self.floor = 0
+        self.min_resumable_version = 0
 
     @property
-    def logged(self) -> int:
+    def log_entries(self) -> int:
         """The number of changes in the log."""
         return len(self._log)
 
     @property
-    def log_size(self) -> int:
-        """The bytes of their JSON."""
-        return self._log_size
+    def log_bytes(self) -> int:
+        """The size of the logged changes, in bytes of JSON."""
+        return self._log_bytes
 
     @property
-    def servers(self) -> int:
+    def server_count(self) -> int:
         """The number of servers listed."""
         return len(self._entries)
 
-    def held(self, ident: str) -> RawEntry | None:
-        """The entry in force."""
-        return self._entries.get(ident)
+    def entry(self, server_id: str) -> RawEntry | None:
+        """The current entry of a server."""
+        return self._entries.get(server_id)
 
-    def take(self, answer: RawList) -> bool:
-        """Put an answer in force that is believed; tells whether there is news in it."""
-        self._notices.clear()
+    def apply(self, answer: RawList) -> bool:
+        """Apply a trusted answer. Return whether it changed the list or its version."""
+        self._unconfirmed.clear()
         if answer.full:
-            return self._replace(answer)
-        news = answer.version != self.version or bool(answer.entries)
-        self._change(answer.version, answer.entries)
-        return news
-
-    def notice(self, entries: list[RawEntry]) -> bool:
-        """Bad news from a doubted answer: told to everybody until another answer is believed."""
-        fresh = [entry for entry in entries if self._notices.get(entry.id) != entry.data]
-        for entry in fresh:
-            self._notices[entry.id] = entry.data
-            self._put(entry)
-        return bool(fresh)
-
-    def since(self, index: int) -> list[bytes] | None:
-        """The JSON of what changed after version `index`; None where only the whole list tells it."""
-        if self.version is None or not self.floor <= index <= self.version:
+            return self._apply_snapshot(answer)
+        updated = answer.version != self.version or bool(answer.entries)
+        self._apply_changes(answer.version, answer.entries)
+        return updated
+
+    def apply_unconfirmed(self, entries: list[RawEntry]) -> bool:
+        """Apply changes for the worse from a suspect answer. Return whether any of them is new.
+
+        They are sent to every caller until the next trusted answer.
+        """
+        new_entries = [entry for entry in entries if self._unconfirmed.get(entry.id) != entry.data]
+        for entry in new_entries:
+            self._unconfirmed[entry.id] = entry.data
+            self._store(entry)
+        return bool(new_entries)
+
+    def changes_since(self, index: int) -> list[bytes] | None:
+        """The JSON of the changes after version `index`; None if the log does not reach back that far."""
+        if self.version is None or not self.min_resumable_version <= index <= self.version:
             return None
-        changed: dict[str, bytes] = {}
-        for ident in reversed(self._log):
-            change = self._log[ident]
+        changes: dict[str, bytes] = {}
+        for server_id in reversed(self._log):
+            change = self._log[server_id]
             if change.version <= index:
                 break
-            changed[ident] = change.data
-        changed.update(self._notices)
-        return list(changed.values())
+            changes[server_id] = change.data
+        changes.update(self._unconfirmed)
+        return list(changes.values())
 
-    def whole(self) -> list[bytes]:
+    def snapshot(self) -> list[bytes]:
         """The JSON of all entries."""
         return [entry.data for entry in self._entries.values()]
 
-    def _replace(self, answer: RawList) -> bool:
+    def _apply_snapshot(self, answer: RawList) -> bool:
         if self.version is None or answer.version < self.version or not answer.entries:
-            # A first list, a source that went back, or an empty list: nothing of the log leads there.
-            self._restart(answer)
+            # A first list, a source that was set back, or an empty list: no logged change leads to it.
+            self._reset(answer)
             return True
-        named = {entry.id: entry for entry in answer.entries}
-        gone = [ident for ident in self._entries if ident not in named]
+        listed = {entry.id: entry for entry in answer.entries}
+        removed = [server_id for server_id in self._entries if server_id not in listed]
         changed = [entry for entry in answer.entries if self._entries.get(entry.id) != entry]
-        changed += [left(self._entries[ident]) for ident in gone]
-        news = answer.version != self.version or bool(changed)
-        self._change(answer.version, changed)
-        return news
+        changed += [as_left(self._entries[server_id]) for server_id in removed]
+        updated = answer.version != self.version or bool(changed)
+        self._apply_changes(answer.version, changed)
+        return updated
 
-    def _restart(self, answer: RawList) -> None:
+    def _reset(self, answer: RawList) -> None:
         self._entries = {entry.id: entry for entry in answer.entries if entry.state != LEFT}
         self._log.clear()
-        self._log_size = 0
-        self.version = self.floor = answer.version
+        self._log_bytes = 0
+        self.version = self.min_resumable_version = answer.version
 
-    def _change(self, version: int, entries: list[RawEntry]) -> None:
+    def _apply_changes(self, version: int, entries: list[RawEntry]) -> None:
         self.version = version
         for entry in entries:
-            self._put(entry)
-            before = self._log.pop(entry.id, None)
-            if before is not None:
-                self._log_size -= len(before.data)
+            self._store(entry)
+            previous = self._log.pop(entry.id, None)
+            if previous is not None:
+                self._log_bytes -= len(previous.data)
             self._log[entry.id] = Change(version, entry.data)
-            self._log_size += len(entry.data)
+            self._log_bytes += len(entry.data)
         self._trim()
 
-    def _put(self, entry: RawEntry) -> None:
+    def _store(self, entry: RawEntry) -> None:
         if entry.state == LEFT:
             self._entries.pop(entry.id, None)
         else:
@@ -130,9 +133,9 @@
         while self._log:
             oldest = next(iter(self._log))
             change = self._log[oldest]
-            over = len(self._log) > self._limits.entries or self._log_size > self._limits.size
-            if not over and change.version > self.floor:
+            over = len(self._log) > self._limits.max_entries or self._log_bytes > self._limits.max_bytes
+            if not over and change.version > self.min_resumable_version:
                 return
-            self.floor = max(self.floor, change.version)
-            self._log_size -= len(change.data)
+            self.min_resumable_version = max(self.min_resumable_version, change.version)
+            self._log_bytes -= len(change.data)
             del self._log[oldest]
--- a/puffinford/relay/coalescing.py
+++ b/puffinford/relay/coalescing.py
@@ -1,28 +1,28 @@
-"""Changes that come together are sent together. No I/O, no clock; times are ms."""
+"""Coalescing of changes that arrive within a short window. No I/O, no clock; times are in ms."""
 
 from __future__ import annotations
 
 
 class CoalescingWindow:
-    """Opened by the first news, closed `length` later whatever else comes."""
+    """Opened by the first pending update; closes a fixed time later, whatever arrives meanwhile."""
 
-    def __init__(self, length: float) -> None:
-        self._length = length
-        self._closes: float | None = None
+    def __init__(self, duration: float) -> None:
+        self._duration = duration
+        self._closes_at: float | None = None
 
     @property
-    def open(self) -> bool:
-        """Whether there is news that has not been sent."""
-        return self._closes is not None
+    def is_open(self) -> bool:
+        """Whether updates are pending."""
+        return self._closes_at is not None
 
-    def news(self, now: float) -> None:
-        """There is something to send."""
-        if self._closes is None:
-            self._closes = now + self._length
+    def add_update(self, now: float) -> None:
+        """Record a pending update; opens the window if it is closed."""
+        if self._closes_at is None:
+            self._closes_at = now + self._duration
 
-    def close(self, now: float) -> bool:
-        """Whether the news is to be sent now; once for each window."""
-        if self._closes is None or now < self._closes:
+    def close_if_due(self, now: float) -> bool:
+        """Close the window if its time is over. Return whether the pending updates are to be sent now."""
+        if self._closes_at is None or now < self._closes_at:
             return False
-        self._closes = None
+        self._closes_at = None
         return True
--- a/puffinford/relay/core.py
+++ b/puffinford/relay/core.py
@@ -1,7 +1,7 @@
-"""The decisions of a relay: what each call is answered, and when. No I/O; it is given the time in ms.
+"""Decisions of a relay: what each call is answered, and when. No I/O; the caller passes the time, in ms.
 
-Every answer is made at a moment that is given, and whether the list may be answered from is looked at then: a
-process that stood still answers nothing from the list of before.
+The age of the list is checked whenever an answer is made, so a process resumed after a suspension does not
+serve its outdated list.
 """
 
 from __future__ import annotations
@@ -11,240 +11,243 @@
 from collections.abc import Hashable
 from dataclasses import dataclass, field
 
-from puffinford.relay.admission import Admission, Turn
-from puffinford.relay.answers import AnswerCache, Encoded
+from puffinford.relay.admission import Admission, AdmissionResult
+from puffinford.relay.answers import AnswerCache, EncodedAnswer
 from puffinford.relay.changes import ChangeLog, LogLimits
 from puffinford.relay.coalescing import CoalescingWindow
-from puffinford.relay.entries import RawGuard, RawList
+from puffinford.relay.entries import RawList, RawListGuard
 from puffinford.relay.staleness import Staleness
 from puffinford.relay.wire import UNAVAILABLE, Call
 from puffinford.server_list.watch import ReceivedAnswer
 
-LONG = 65_536  # bytes from which an answer waits for its turn
-WRITING_MOST = 32 << 20  # bytes of long answers that are written at once
-TURN_WAITING = 4_096  # callers that wait for their turn
-TURN_PATIENCE = 800.0  # ms that they wait: a caller asks elsewhere after 1,000
-DUES_SPARE = 4_096
-BEHIND_SPARE = 100.0  # ms beyond the time that a confirmation takes
+MIN_LONG_ANSWER_BYTES = 65_536  # shorter answers bypass admission control
+MAX_IN_FLIGHT_BYTES = 32 << 20
+MAX_QUEUED_CALLERS = 4_096
+QUEUE_TIMEOUT_MS = 800.0  # balancers hedge a call after 1,000 ms
+MAX_OBSOLETE_DEADLINES = 4_096
+CONFIRMATION_MARGIN_MS = 100.0
 
 
 @dataclass(frozen=True, slots=True)
-class RelayFigures:
-    """What a relay goes by. Times are ms; `wait` is that of its own calls upstream."""
+class RelayParameters:
+    """Parameters of a relay. Times are in ms; `wait` is the wait of its own calls upstream."""
 
     max_age: float = 2_000.0
-    upstream_age: float = 0.0  # how old a list may be that is confirmed upstream
+    upstream_age: float = 0.0  # maximum age of a list served by the upstream; 0 for the source itself
     wait: float = 500.0
     coalesce: float = 100.0
-    log: LogLimits = field(default_factory=lambda: LogLimits(4_096, 4 << 20))
+    log_limits: LogLimits = field(default_factory=lambda: LogLimits(4_096, 4 << 20))
 
 
 @dataclass(slots=True)
-class Counts:
-    """What was done since the start."""
+class RelayCounters:
+    """Totals since the start."""
 
     calls: int = 0
     answers: int = 0
-    whole: int = 0  # whole lists among the answers
-    refused: int = 0  # 503, or a reset
-    behind: int = 0  # calls from a version above that held
-    size: int = 0  # bytes of answers
+    full_answers: int = 0
+    refused: int = 0  # calls answered with 503
+    ahead_calls: int = 0  # calls with a version above the relay's
+    answer_bytes: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """What to write to a caller, whose connection ends with it."""
+    """The complete response to a caller; its connection is closed afterwards."""
 
     caller: Hashable
     data: bytes
 
 
 @dataclass(slots=True)
-class _Parked:
-    """A call that waits for news until `due`."""
+class _WaitingCall:
+    """A call that waits for changes after version `index`; answered at `deadline` at the latest."""
 
     index: int
-    due: float
-    number: int
+    deadline: float
+    sequence: int
 
 
 @dataclass(frozen=True, slots=True)
-class _Behind:
-    """A call from a version above that held, which came at `arrived`."""
+class _AheadCall:
+    """A call with version `index`, above the relay's; refused at `deadline` if still unresolved."""
 
     index: int
-    arrived: float
-    due: float
-    until: float  # the end of the caller's own wait
+    arrived_at: float
+    deadline: float
+    wait_ends_at: float  # the end of the wait that the caller asked for
 
 
 class ListRelay:
-    """The list, the calls that wait, and what is due to be written."""
-
-    def __init__(self, figures: RelayFigures) -> None:
-        self.counts = Counts()
-        self.staleness = Staleness(figures.max_age)
-        self._figures = figures
-        self._guard = RawGuard()
-        self.log = ChangeLog(figures.log)
-        self.cache = AnswerCache(self.log)
-        self._window = CoalescingWindow(figures.coalesce)
-        self._admission = Admission(WRITING_MOST, TURN_WAITING, TURN_PATIENCE)
-        self._parked: dict[Hashable, _Parked] = {}
-        self._dues: list[tuple[float, int, Hashable]] = []
-        self._number = 0
-        self._behind: dict[Hashable, _Behind] = {}
-        self._noticed = False  # there is bad news that belongs to no version
-        self._ready: deque[Hashable] = deque()  # parked callers to whom there is something to tell
+    """The list, the calls that wait for it to change, and the responses that are due."""
+
+    def __init__(self, parameters: RelayParameters) -> None:
+        self.counters = RelayCounters()
+        self.staleness = Staleness(parameters.max_age)
+        self._parameters = parameters
+        self._guard = RawListGuard()
+        self.change_log = ChangeLog(parameters.log_limits)
+        self.cache = AnswerCache(self.change_log)
+        self._coalescing = CoalescingWindow(parameters.coalesce)
+        self._admission = Admission(MAX_IN_FLIGHT_BYTES, MAX_QUEUED_CALLERS, QUEUE_TIMEOUT_MS)
+        self._waiting: dict[Hashable, _WaitingCall] = {}
+        self._deadlines: list[tuple[float, int, Hashable]] = []
+        self._last_sequence = 0
+        self._ahead: dict[Hashable, _AheadCall] = {}
+        self._has_unconfirmed = False  # unconfirmed changes have not been sent to the waiting callers yet
+        self._ready: deque[Hashable] = deque()  # waiting callers with changes to send
 
     @property
     def watchers(self) -> int:
-        """Calls that wait for news."""
-        return len(self._parked) + len(self._behind)
+        """The number of calls that wait for a change."""
+        return len(self._waiting) + len(self._ahead)
 
     @property
-    def held(self) -> int:
-        """Bytes that are held for answers: the log, the cache, and what is being written."""
-        return self.log.log_size + self.cache.size + self._admission.size
+    def buffered_bytes(self) -> int:
+        """Bytes held for answers: the log, the cache, and answers in flight."""
+        return self.change_log.log_bytes + self.cache.cached_bytes + self._admission.bytes_in_flight
 
     # Upstream
 
-    def heard(self, heard: ReceivedAnswer[RawList] | None, now: float) -> tuple[int | None, str]:
-        """An answer from upstream, or None for none: the version that the next call goes on from, and why the
-        answer is doubted, if it is.
+    def handle_answer(self, received: ReceivedAnswer[RawList] | None, now: float) -> tuple[int | None, str]:
+        """Apply an answer from upstream; None after a failed call.
+
+        Return the version that the next call resumes from, and why the answer is suspect ("" if it is not).
         """
-        if heard is None:
+        if received is None:
             return self._guard.version, ""
-        answer, list_call = heard.answer, heard.list_call
-        judged = self._guard.judge(answer, self.log.held)
-        if judged.note:
-            if judged.taken is not None and self.log.notice(judged.taken.entries):
-                self._noticed = True
-                self._tell(now)
-            return judged.version, judged.note
-        quiet = list_call.index == answer.version and not answer.full and not answer.entries
-        self.staleness.confirm(list_call.sent_at, list_call.wait, heard.received_at, quiet)
-        if judged.taken is not None and self.log.take(judged.taken):
-            self._tell(now)
-        return judged.version, ""
-
-    def _tell(self, now: float) -> None:
+        answer, list_call = received.answer, received.list_call
+        verdict = self._guard.judge(answer, self.change_log.entry)
+        if verdict.note:
+            if verdict.accepted is not None and self.change_log.apply_unconfirmed(verdict.accepted.entries):
+                self._has_unconfirmed = True
+                self._schedule_update(now)
+            return verdict.version, verdict.note
+        unchanged = list_call.index == answer.version and not answer.full and not answer.entries
+        self.staleness.confirm(list_call.sent_at, list_call.wait, received.received_at, unchanged)
+        if verdict.accepted is not None and self.change_log.apply(verdict.accepted):
+            self._schedule_update(now)
+        return verdict.version, ""
+
+    def _schedule_update(self, now: float) -> None:
         self.cache.clear()
-        self._window.news(now)
+        self._coalescing.add_update(now)
 
     # Downstream
 
-    def call(self, caller: Hashable, call: Call, now: float) -> Response | None:
-        """A call; None where its answer comes later, among those that are `due`."""
-        self.counts.calls += 1
-        version = self.log.version
-        if version is None or not self.staleness.fresh(now):
+    def handle_call(self, caller: Hashable, call: Call, now: float) -> Response | None:
+        """Answer a call, or return None if `take_due` returns its response later."""
+        self.counters.calls += 1
+        version = self.change_log.version
+        if version is None or not self.staleness.is_fresh(now):
             return self._refuse(caller)
         if call.index is None:
             return self._answer(caller, None, now)
         if call.index > version:
-            self._wait_behind(caller, call.index, call.wait, now)
+            self._wait_for_version(caller, call.index, call.wait, now)
             return None
-        if call.wait and (call.index == version or self._window.open):
-            self._park(caller, call.index, now + call.wait)
+        if call.wait and (call.index == version or self._coalescing.is_open):
+            self._wait_for_change(caller, call.index, now + call.wait)
             return None
         return self._answer(caller, call.index, now)
 
-    def left(self, caller: Hashable) -> None:
-        """The caller's connection has ended, however it did."""
-        self._parked.pop(caller, None)
-        self._behind.pop(caller, None)
-        self._admission.done(caller)
-
-    def due(self, now: float, most: int) -> list[Response]:
-        """What is to be written now, `most` answers at once. To be asked again until there is nothing."""
-        if not self.staleness.fresh(now):
-            return self._end_watches(most)
-        if self._window.close(now):
-            self._ready.extend(self._with_news())
+    def caller_disconnected(self, caller: Hashable) -> None:
+        """Forget a caller whose connection has ended, answered or not."""
+        self._waiting.pop(caller, None)
+        self._ahead.pop(caller, None)
+        self._admission.release(caller)
+
+    def take_due(self, now: float, limit: int) -> list[Response]:
+        """Return about `limit` responses that are due; to be repeated until there are none."""
+        if not self.staleness.is_fresh(now):
+            return self._refuse_waiting(limit)
+        if self._coalescing.close_if_due(now):
+            self._ready.extend(self._callers_to_update())
         responses: list[Response | None] = []
-        for caller in self._admission.next():
+        for caller in self._admission.admit_queued():
             responses.append(self._send(caller, self.cache.get(None)))
-        for caller in self._admission.expired(now):
+        for caller in self._admission.remove_expired(now):
             responses.append(self._refuse(caller))
-        while self._ready and len(responses) < most:
-            responses.append(self._answer_parked(self._ready.popleft(), now))
-        while self._dues and self._dues[0][0] <= now and len(responses) < most:
-            _, number, caller = heapq.heappop(self._dues)
-            parked = self._parked.get(caller)
-            if parked is not None and parked.number == number:
-                responses.append(self._answer_parked(caller, now))
-        responses += self._look_behind(now, most - len(responses))
+        while self._ready and len(responses) < limit:
+            responses.append(self._answer_waiting(self._ready.popleft(), now))
+        while self._deadlines and self._deadlines[0][0] <= now and len(responses) < limit:
+            _, sequence, caller = heapq.heappop(self._deadlines)
+            waiting = self._waiting.get(caller)
+            if waiting is not None and waiting.sequence == sequence:
+                responses.append(self._answer_waiting(caller, now))
+        responses += self._resolve_ahead(now, limit - len(responses))
         return [response for response in responses if response is not None]
 
-    def _with_news(self) -> list[Hashable]:
-        """The parked callers to whom there is something to tell."""
-        everybody, self._noticed = self._noticed, False
-        version = self.log.version
-        return [caller for caller, parked in self._parked.items() if everybody or parked.index != version]
-
-    def _park(self, caller: Hashable, index: int, due: float) -> None:
-        self._number += 1
-        self._parked[caller] = _Parked(index, due, self._number)
-        heapq.heappush(self._dues, (due, self._number, caller))
-        if len(self._dues) > DUES_SPARE + 4 * len(self._parked):
-            # Guards memory against the dues of calls that were answered long before.
-            self._dues = [(parked.due, parked.number, key) for key, parked in self._parked.items()]
-            heapq.heapify(self._dues)
-
-    def _answer_parked(self, caller: Hashable, now: float) -> Response | None:
-        parked = self._parked.pop(caller, None)
-        if parked is None:
+    def _callers_to_update(self) -> list[Hashable]:
+        """The waiting callers with changes to send; all of them if there are unconfirmed changes."""
+        update_all, self._has_unconfirmed = self._has_unconfirmed, False
+        version = self.change_log.version
+        return [caller for caller, waiting in self._waiting.items() if update_all or waiting.index != version]
+
+    def _wait_for_change(self, caller: Hashable, index: int, deadline: float) -> None:
+        self._last_sequence += 1
+        self._waiting[caller] = _WaitingCall(index, deadline, self._last_sequence)
+        heapq.heappush(self._deadlines, (deadline, self._last_sequence, caller))
+        if len(self._deadlines) > MAX_OBSOLETE_DEADLINES + 4 * len(self._waiting):
+            # Prevents the deadlines of calls already answered from accumulating.
+            self._deadlines = [
+                (waiting.deadline, waiting.sequence, key) for key, waiting in self._waiting.items()
+            ]
+            heapq.heapify(self._deadlines)
+
+    def _answer_waiting(self, caller: Hashable, now: float) -> Response | None:
+        waiting = self._waiting.pop(caller, None)
+        if waiting is None:
             return None
-        if self.log.version is not None and parked.index > self.log.version:
-            # The source went back while the call waited.
-            self._wait_behind(caller, parked.index, parked.due - now, now)
+        if self.change_log.version is not None and waiting.index > self.change_log.version:
+            # The source was set back to an older version while the call waited.
+            self._wait_for_version(caller, waiting.index, waiting.deadline - now, now)
             return None
-        return self._answer(caller, parked.index, now)
+        return self._answer(caller, waiting.index, now)
 
-    def _end_watches(self, most: int) -> list[Response]:
+    def _refuse_waiting(self, limit: int) -> list[Response]:
         callers: list[Hashable] = []
-        for waiting in (self._parked, self._behind):
-            for caller in waiting:
-                if len(callers) >= most:
+        for calls in (self._waiting, self._ahead):
+            for caller in calls:
+                if len(callers) >= limit:
                     break
                 callers.append(caller)
-        callers += self._admission.expired(float("inf"))
+        callers += self._admission.remove_expired(float("inf"))
         for caller in callers:
-            self._parked.pop(caller, None)
-            self._behind.pop(caller, None)
-        if not self._parked:
+            self._waiting.pop(caller, None)
+            self._ahead.pop(caller, None)
+        if not self._waiting:
             self._ready.clear()
-            self._dues.clear()
+            self._deadlines.clear()
         return [self._refuse(caller) for caller in callers]
 
-    # Calls from a version above that held: it is behind, was restarted, or its source has gone back
+    # Calls with a version above the relay's: the relay lags or was restarted, or the source was set back
 
-    def _wait_behind(self, caller: Hashable, index: int, wait: float, now: float) -> None:
-        self.counts.behind += 1
-        figures = self._figures
-        least = figures.upstream_age + 1.5 * figures.wait + BEHIND_SPARE
-        self._behind[caller] = _Behind(index, now, now + max(wait, least), now + wait)
+    def _wait_for_version(self, caller: Hashable, index: int, wait: float, now: float) -> None:
+        self.counters.ahead_calls += 1
+        parameters = self._parameters
+        min_wait = parameters.upstream_age + 1.5 * parameters.wait + CONFIRMATION_MARGIN_MS
+        self._ahead[caller] = _AheadCall(index, now, now + max(wait, min_wait), now + wait)
 
-    def _look_behind(self, now: float, most: int) -> list[Response | None]:
+    def _resolve_ahead(self, now: float, limit: int) -> list[Response | None]:
         responses: list[Response | None] = []
-        confirmed = self.staleness.confirmed - self._figures.upstream_age
-        for caller, behind in list(self._behind.items()):
-            if len(responses) >= most:
+        confirmed_at = self.staleness.confirmed_at - self._parameters.upstream_age
+        for caller, ahead in list(self._ahead.items()):
+            if len(responses) >= limit:
                 break
-            version = self.log.version
-            caught_up = version is not None and behind.index <= version
-            if caught_up and now < behind.until:
-                del self._behind[caller]
-                self._park(caller, behind.index, behind.until)
-                if behind.index != version and not self._window.open:
+            version = self.change_log.version
+            caught_up = version is not None and ahead.index <= version
+            if caught_up and now < ahead.wait_ends_at:
+                del self._ahead[caller]
+                self._wait_for_change(caller, ahead.index, ahead.wait_ends_at)
+                if ahead.index != version and not self._coalescing.is_open:
                     self._ready.append(caller)
-            elif caught_up or confirmed > behind.arrived:
-                # Below it still, though known to be the source's after the call came: the source went back.
-                del self._behind[caller]
-                responses.append(self._answer(caller, behind.index, now))
-            elif now >= behind.due:
-                del self._behind[caller]
+            elif caught_up or confirmed_at > ahead.arrived_at:
+                # If not caught up: the list was confirmed after the call arrived, so the source was set back.
+                del self._ahead[caller]
+                responses.append(self._answer(caller, ahead.index, now))
+            elif now >= ahead.deadline:
+                del self._ahead[caller]
                 responses.append(self._refuse(caller))
         return responses
 
@@ -252,19 +255,19 @@
 
     def _answer(self, caller: Hashable, index: int | None, now: float) -> Response | None:
         encoded = self.cache.get(index)
-        if len(encoded.data) < LONG:
+        if len(encoded.data) < MIN_LONG_ANSWER_BYTES:
             return self._send(caller, encoded)
-        turn = self._admission.ask(caller, len(encoded.data), now)
-        if turn is Turn.NOW:
+        admission = self._admission.request(caller, len(encoded.data), now)
+        if admission is AdmissionResult.ADMITTED:
             return self._send(caller, encoded)
-        return self._refuse(caller) if turn is Turn.NEVER else None
+        return self._refuse(caller) if admission is AdmissionResult.REJECTED else None
 
-    def _send(self, caller: Hashable, encoded: Encoded) -> Response:
-        self.counts.answers += 1
-        self.counts.whole += encoded.full
-        self.counts.size += len(encoded.data)
+    def _send(self, caller: Hashable, encoded: EncodedAnswer) -> Response:
+        self.counters.answers += 1
+        self.counters.full_answers += encoded.full
+        self.counters.answer_bytes += len(encoded.data)
         return Response(caller, encoded.data)
 
     def _refuse(self, caller: Hashable) -> Response:
-        self.counts.refused += 1
+        self.counters.refused += 1
         return Response(caller, UNAVAILABLE)
--- a/puffinford/relay/entries.py
+++ b/puffinford/relay/entries.py
@@ -1,4 +1,4 @@
-"""Lists as a relay keeps them: entries as they came, fields that it does not know among them. No I/O."""
+"""Server lists as raw JSON entries, so that a relay passes on fields it does not know. No I/O."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RawEntry:
-    """One entry; `data` is its JSON."""
+    """One server's entry; `data` is its JSON."""
 
     id: str
     state: str
@@ -40,96 +40,101 @@
 
 
 def decode(body: bytes, reject: Callable[[str], None]) -> RawList:
-    """An answer's body. An entry without an id is rejected by itself; a bad frame raises CallFailed."""
+    """Decode the body of an answer. Raises CallFailed if its outer fields are invalid.
+
+    An entry without a valid id or state is left out, and `reject` is called with the reason.
+    """
     try:
         answer = orjson.loads(body)
     except orjson.JSONDecodeError as exc:
         raise CallFailed(f"not a list: {exc}") from None
     if not isinstance(answer, dict) or not isinstance(answer.get("servers"), list):
-        raise CallFailed("not a list: servers is missing or no list")
+        raise CallFailed("not a list: servers is missing or not an array")
     version, full = answer.get("version"), answer.get("full")
     if type(version) is not int:
-        raise CallFailed("not a list: version is missing or no whole number")
+        raise CallFailed("not a list: version is missing or not an integer")
     if type(full) is not bool:
-        raise CallFailed("not a list: full is missing or not true or false")
+        raise CallFailed("not a list: full is missing or not a boolean")
     entries = []
-    for number, told in enumerate(answer["servers"]):
-        entry = _entry(told)
+    for number, fields in enumerate(answer["servers"]):
+        entry = _decode_entry(fields)
         if entry is None:
-            reject(f"entry {number}: id or state is missing or no text")
+            reject(f"entry {number}: id or state is missing or not a string")
         else:
             entries.append(entry)
     return RawList(version, full, entries)
 
 
-def _entry(told: object) -> RawEntry | None:
-    if not isinstance(told, dict):
+def _decode_entry(fields: object) -> RawEntry | None:
+    if not isinstance(fields, dict):
         return None
-    ident, state = told.get("id"), told.get("state", "active")
-    if not isinstance(ident, str) or not ident or not isinstance(state, str):
+    server_id, state = fields.get("id"), fields.get("state", "active")
+    if not isinstance(server_id, str) or not server_id or not isinstance(state, str):
         return None
-    return RawEntry(ident, state, orjson.dumps(told))
+    return RawEntry(server_id, state, orjson.dumps(fields))
 
 
-def left(entry: RawEntry) -> RawEntry:
-    """The same server once it has left."""
-    told = {**orjson.loads(entry.data), "state": LEFT}
-    return RawEntry(entry.id, LEFT, orjson.dumps(told))
+def as_left(entry: RawEntry) -> RawEntry:
+    """Return a copy of the entry in state `left`."""
+    fields = {**orjson.loads(entry.data), "state": LEFT}
+    return RawEntry(entry.id, LEFT, orjson.dumps(fields))
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
-    """What to take of an answer (None: nothing), and from which version the next call goes on (None: ask for
-    all). With a `note` the answer is doubted; what is taken then is bad news under the version held.
+class RawVerdict:
+    """What to apply of an answer (None: nothing), and the version to resume from (None: request all).
+
+    A non-empty `note` says why the answer is suspect; `accepted` then holds only changes for the worse, under
+    the current version.
     """
 
-    taken: RawList | None
+    accepted: RawList | None
     version: int | None
     note: str
 
 
-class RawGuard:
-    """`ListGuard` for entries as they came: a relay believes what a balancer would."""
+class RawListGuard:
+    """`ListGuard` for raw entries: a relay trusts the same answers as a balancer."""
 
     def __init__(self) -> None:
         self._guard = ListGuard()
 
     @property
     def version(self) -> int | None:
-        """Where a call after a failed one goes on from."""
+        """The version to resume from after a failed call."""
         return self._guard.version
 
-    def judge(self, answer: RawList, held: Callable[[str], RawEntry | None]) -> Judged:
-        """What to take of an answer; `held` gives the entry in force of an id."""
-        machines = [_machine(entry) for entry in answer.entries]
-        taken = self._guard.judge(ServerEntries(answer.version, answer.full, machines))
-        if taken.entries is None:
-            return Judged(None, taken.version, taken.note)
-        chosen = _as_came(taken.entries.entries, answer.entries, held)
-        return Judged(
-            replace(answer, version=taken.entries.version, full=taken.entries.full, entries=chosen),
-            taken.version,
-            taken.note,
+    def judge(self, answer: RawList, current_entry: Callable[[str], RawEntry | None]) -> RawVerdict:
+        """Decide what to apply of an answer; `current_entry` returns the present entry of an id."""
+        servers = [_server_entry(entry) for entry in answer.entries]
+        verdict = self._guard.judge(ServerEntries(answer.version, answer.full, servers))
+        if verdict.entries is None:
+            return RawVerdict(None, verdict.version, verdict.note)
+        selected = _select_raw(verdict.entries.entries, answer.entries, current_entry)
+        return RawVerdict(
+            replace(answer, version=verdict.entries.version, full=verdict.entries.full, entries=selected),
+            verdict.version,
+            verdict.note,
         )
 
 
-def _machine(entry: RawEntry) -> ServerEntry:
-    """What the guard looks at. A state that is not known here is the balancers' to judge."""
+def _server_entry(entry: RawEntry) -> ServerEntry:
+    """The fields that `ListGuard` reads. An unknown state counts as live; each balancer judges it itself."""
     return ServerEntry(Server(entry.id, state=STATES_BY_NAME.get(entry.state, ServerState.LIVE)), "", 0)
 
 
-def _as_came(
-    machines: Iterable[ServerEntry], entries: list[RawEntry], held: Callable[[str], RawEntry | None]
+def _select_raw(
+    servers: Iterable[ServerEntry], entries: list[RawEntry], current_entry: Callable[[str], RawEntry | None]
 ) -> list[RawEntry]:
-    """The entries that the guard has chosen; one that it found absent is the held one, as left."""
-    came = {(entry.id, STATES_BY_NAME.get(entry.state, ServerState.LIVE)): entry for entry in entries}
-    chosen = []
-    for machine in machines:
-        entry = came.get((machine.server.id, machine.server.state))
+    """The raw entries of the selected servers; for one absent from the answer, its current entry as left."""
+    received = {(entry.id, STATES_BY_NAME.get(entry.state, ServerState.LIVE)): entry for entry in entries}
+    selected = []
+    for listed in servers:
+        entry = received.get((listed.server.id, listed.server.state))
         if entry is None:
-            before = held(machine.server.id)
-            if before is None:
+            current = current_entry(listed.server.id)
+            if current is None:
                 continue
-            entry = left(before)
-        chosen.append(entry)
-    return chosen
+            entry = as_left(current)
+        selected.append(entry)
+    return selected
--- a/puffinford/relay/server.py
+++ b/puffinford/relay/server.py
@@ -1,7 +1,7 @@
-"""The relay's listening side: one call a connection, read by a strict reader of the little that is needed.
+"""The relay's listening side: accepts connections, reads one call from each and writes its answer.
 
-Sockets on the loop's selector rather than a task and a stream for each connection: some thousands wait at
-once, and each call comes on a connection of its own.
+Uses sockets on the event loop's selector rather than a task and a stream for each connection: each call opens
+a connection of its own, and thousands of them wait at once.
 """
 
 from __future__ import annotations
@@ -17,140 +17,142 @@
 
 from puffinford.core.clock import Clock
 from puffinford.relay.core import Response
-from puffinford.relay.wire import BAD_REQUEST, HEAD_MOST, BadCall, Call, read_call
+from puffinford.relay.wire import BAD_REQUEST, MAX_HEAD_BYTES, BadCall, Call, parse_call
 
 log = logging.getLogger(__name__)
 
-READ_WITHIN = 3_000.0  # ms for a call to come whole
-WRITE_WITHIN = 3_000.0  # ms for its answer to be taken
-BACKLOG = 4_096
-MAX_ACCEPTS_PER_TURN = 128  # connections accepted before others have a turn
-_RESET = struct.pack("ii", 1, 0)
+READ_TIMEOUT_MS = 3_000.0
+WRITE_TIMEOUT_MS = 3_000.0
+LISTEN_BACKLOG = 4_096
+MAX_ACCEPTS_PER_TURN = 128  # accepted in a row before other events are handled
+_LINGER_RESET = struct.pack("ii", 1, 0)  # makes close() send RST
 _HEAD_END = b"\r\n\r\n"
 
 
-class State(Enum):
-    READING = "reading"  # its call is not there yet
-    WAITING = "waiting"  # for its answer
-    WRITING = "writing"  # its answer, which has not been taken whole
-    ENDED = "ended"
+class CallerState(Enum):
+    READING = "reading"  # the call is incomplete
+    WAITING = "waiting"  # the answer is not due yet
+    WRITING = "writing"  # the answer is partly written
+    CLOSED = "ended"
 
 
 @dataclass
-class Limits:
-    """Bounds of the listening side, and how often they were met."""
+class ServerLimits:
+    """The connection limit of the listening side, and counters of what exceeded a limit."""
 
-    calls: int  # connections open at once
-    refused: int = 0  # connections over that bound, reset
-    slow: int = 0  # connections cut off in the midst of a call or an answer
+    max_connections: int
+    refused: int = 0  # connections reset because of that limit
+    timed_out: int = 0  # connections reset while reading the call or writing the answer
 
 
 class Caller:
-    """One connection. It is the token by which the decisions know the call."""
+    """One connection; identifies its call to the decision module."""
 
-    __slots__ = ("_buffer", "_loop", "_number", "_rest", "_server", "_sock", "_watched", "state")
+    __slots__ = ("_buffer", "_fileno", "_loop", "_registered", "_server", "_sock", "_unsent", "state")
 
     def __init__(self, sock: socket.socket, server: CallServer, loop: asyncio.AbstractEventLoop) -> None:
         self._sock = sock
-        self._number = sock.fileno()  # the selector is quicker by number
-        self._watched = False  # whether the selector looks at it
+        self._fileno = sock.fileno()  # the selector is faster with numbers than with socket objects
+        self._registered = False  # with the selector
         self._server = server
         self._loop = loop
         self._buffer = b""
-        self._rest = memoryview(b"")
-        self.state = State.READING
+        self._unsent = memoryview(b"")
+        self.state = CallerState.READING
 
     def start(self) -> None:
-        """Read what is there already, and then what comes."""
+        """Read what has arrived already, then register for further data."""
         self._read()
-        if self.state in (State.READING, State.WAITING):
-            self._watched = True
-            self._loop.add_reader(self._number, self._read)
+        if self.state in (CallerState.READING, CallerState.WAITING):
+            self._registered = True
+            self._loop.add_reader(self._fileno, self._read)
 
     def _read(self) -> None:
         try:
-            data = self._sock.recv(HEAD_MOST)
+            data = self._sock.recv(MAX_HEAD_BYTES)
         except BlockingIOError:
             return
         except OSError:
             data = b""
-        if not data or self.state is not State.READING:
-            # The caller has gone, or says more than its one call.
-            self.end(reset=bool(data))
+        if not data or self.state is not CallerState.READING:
+            # The caller has disconnected, or sent data after its call.
+            self.close(reset=bool(data))
             return
         self._buffer += data
         head, end, _ = self._buffer.partition(_HEAD_END)
-        if end or len(self._buffer) >= HEAD_MOST:
+        if end or len(self._buffer) >= MAX_HEAD_BYTES:
             self._buffer = b""
-            self.state = State.WAITING
-            self._server.called(self, head + end if end else b"")
+            self.state = CallerState.WAITING
+            self._server.call_received(self, head + end if end else b"")
 
-    def finish(self, data: bytes) -> None:
-        """Write the answer; the connection ends with it."""
-        if self.state not in (State.READING, State.WAITING):
+    def respond(self, data: bytes) -> None:
+        """Write the response and close the connection once it is written."""
+        if self.state not in (CallerState.READING, CallerState.WAITING):
             return
-        self.state = State.WRITING
-        self._rest = memoryview(data)
+        self.state = CallerState.WRITING
+        self._unsent = memoryview(data)
         self._write()
-        if self.state is State.WRITING:
-            self._look_away()
-            self._watched = True
-            self._loop.add_writer(self._number, self._write)
+        if self.state is CallerState.WRITING:
+            self._unregister()
+            self._registered = True
+            self._loop.add_writer(self._fileno, self._write)
 
     def _write(self) -> None:
         try:
-            self._rest = self._rest[self._sock.send(self._rest) :]
+            self._unsent = self._unsent[self._sock.send(self._unsent) :]
         except BlockingIOError:
             return
         except OSError:
-            self.end()
+            self.close()
             return
-        if not self._rest:
-            self.end()
-
-    def _look_away(self) -> None:
-        if self._watched:
-            self._watched = False
-            self._loop.remove_reader(self._number)
-            self._loop.remove_writer(self._number)
-
-    def end(self, reset: bool = False) -> None:
-        """Close the connection, if it is open."""
-        if self.state is State.ENDED:
+        if not self._unsent:
+            self.close()
+
+    def _unregister(self) -> None:
+        if self._registered:
+            self._registered = False
+            self._loop.remove_reader(self._fileno)
+            self._loop.remove_writer(self._fileno)
+
+    def close(self, reset: bool = False) -> None:
+        """Close the connection if it is open, with a TCP reset if `reset`."""
+        if self.state is CallerState.CLOSED:
             return
-        self.state = State.ENDED
-        self._rest = memoryview(b"")
-        self._look_away()
+        self.state = CallerState.CLOSED
+        self._unsent = memoryview(b"")
+        self._unregister()
         if reset:
-            self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+            self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
         self._sock.close()
-        self._server.lost(self)
+        self._server.connection_closed(self)
 
 
 @dataclass(frozen=True, slots=True)
 class _Deadline:
-    """When a connection is cut off, if it is still in `state`."""
+    """The time at which a connection is reset if it is still in `state`."""
 
     at: float
     caller: Caller
-    state: State
+    state: CallerState
 
 
 class CallServer:
-    """Accepts callers within bounds of number, bytes and time, and hands on their calls."""
+    """Accepts callers within limits of number, bytes and time, and passes on their calls."""
 
     def __init__(
         self,
         clock: Clock,
-        limits: Limits,
-        call: Callable[[Caller, Call], Response | None],
-        left: Callable[[Caller], None],
+        limits: ServerLimits,
+        on_call: Callable[[Caller, Call], Response | None],
+        on_disconnect: Callable[[Caller], None],
     ) -> None:
-        """`call` may answer at once, or later through `finish`. `left` hears of each connection's end."""
+        """`on_call` returns the response, or None if it is passed to `respond` later. `on_disconnect` is
+        called when a connection ends, for whatever reason.
+        """
         self._clock = clock
         self.limits = limits
-        self._call = call
-        self._left = left
+        self._on_call = on_call
+        self._on_disconnect = on_disconnect
         self._reading: deque[_Deadline] = deque()
         self._writing: deque[_Deadline] = deque()
         self._callers: set[Caller] = set()
@@ -158,23 +160,23 @@
         self._accepting = False
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Listen from now on; the address, with its port. Raises OSError."""
+        """Start listening. Return the address with the port bound. Raises OSError."""
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-        self._listener = socket.create_server(address, family=family, backlog=BACKLOG)
+        self._listener = socket.create_server(address, family=family, backlog=LISTEN_BACKLOG)
         self._listener.setblocking(False)
-        self._go_on()
+        self._resume_accepting()
         host, port = self._listener.getsockname()[:2]
         return host, port
 
     def close(self) -> None:
-        """Listen no more, and end all that is open."""
+        """Stop listening and reset all open connections."""
         if self._listener is not None:
             asyncio.get_running_loop().remove_reader(self._listener)
             self._listener.close()
         for caller in list(self._callers):
-            caller.end(reset=True)
+            caller.close(reset=True)
 
-    def _go_on(self) -> None:
+    def _resume_accepting(self) -> None:
         if self._listener is not None and not self._accepting:
             self._accepting = True
             asyncio.get_running_loop().add_reader(self._listener, self._accept)
@@ -188,54 +190,54 @@
             except BlockingIOError:
                 return
             except OSError as exc:
-                # Out of descriptors, say: it goes on with the next look at the deadlines.
+                # For example EMFILE. Accepting resumes with the next call of `close_timed_out`.
                 log.warning("accept failed", extra={"error": str(exc)})
                 loop.remove_reader(self._listener)
                 self._accepting = False
                 return
             sock.setblocking(False)
-            self._came(Caller(sock, self, loop))
+            self._admit(Caller(sock, self, loop))
 
-    def _came(self, caller: Caller) -> None:
-        if len(self._callers) >= self.limits.calls:
+    def _admit(self, caller: Caller) -> None:
+        if len(self._callers) >= self.limits.max_connections:
             self.limits.refused += 1
-            caller.end(reset=True)
+            caller.close(reset=True)
             return
         self._callers.add(caller)
         caller.start()
-        if caller.state is State.READING:
-            self._reading.append(_Deadline(self._clock.now() + READ_WITHIN, caller, State.READING))
+        if caller.state is CallerState.READING:
+            self._reading.append(_Deadline(self._clock.now() + READ_TIMEOUT_MS, caller, CallerState.READING))
 
-    def called(self, caller: Caller, head: bytes) -> None:
-        """A call is there, or (no head) what cannot become one."""
+    def call_received(self, caller: Caller, head: bytes) -> None:
+        """Handle a complete request head; an empty one means that the head was too long."""
         try:
             if not head:
                 raise BadCall(BAD_REQUEST)
-            response = self._call(caller, read_call(head))
+            response = self._on_call(caller, parse_call(head))
         except BadCall as exc:
             response = Response(caller, exc.response)
         if response is not None:
-            self.finish(response)
+            self.respond(response)
 
-    def finish(self, response: Response) -> None:
-        """Write an answer."""
+    def respond(self, response: Response) -> None:
+        """Write a response to its caller."""
         caller = response.caller
         assert isinstance(caller, Caller)
-        caller.finish(response.data)
-        if caller.state is State.WRITING:
-            self._writing.append(_Deadline(self._clock.now() + WRITE_WITHIN, caller, State.WRITING))
+        caller.respond(response.data)
+        if caller.state is CallerState.WRITING:
+            self._writing.append(_Deadline(self._clock.now() + WRITE_TIMEOUT_MS, caller, CallerState.WRITING))
 
-    def lost(self, caller: Caller) -> None:
-        """A connection has ended."""
+    def connection_closed(self, caller: Caller) -> None:
+        """Forget a connection that was closed."""
         self._callers.discard(caller)
-        self._left(caller)
+        self._on_disconnect(caller)
 
-    def cut_slow(self, now: float) -> None:
-        """End those that neither finish their call nor take their answer; accept again where that failed."""
+    def close_timed_out(self, now: float) -> None:
+        """Reset connections whose read or write timed out, and resume accepting if that had failed."""
         for deadlines in (self._reading, self._writing):
             while deadlines and (deadlines[0].at <= now or deadlines[0].caller.state != deadlines[0].state):
                 deadline = deadlines.popleft()
                 if deadline.caller.state is deadline.state:
-                    self.limits.slow += 1
-                    deadline.caller.end(reset=True)
-        self._go_on()
+                    self.limits.timed_out += 1
+                    deadline.caller.close(reset=True)
+        self._resume_accepting()
--- a/puffinford/relay/staleness.py
+++ b/puffinford/relay/staleness.py
@@ -1,8 +1,8 @@
-"""How old a relay's list is, on given times in ms. No I/O, no clock.
+"""The age of a relay's list, from the times of its calls upstream. No I/O, no clock; times are in ms.
 
-`confirmed` is the latest moment of which the relay knows that its list was the source's. A watch that waits
-answers without news no earlier than its wait after it was sent; any other answer was written after the call
-was sent, and no more is known.
+`confirmed_at` is the latest time at which the list is known to have equalled the source's. An answer without
+changes to a waiting call was written no earlier than the end of the wait; any other answer is only known to
+have been written after the call was sent.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 
 
 class Staleness:
-    """The age of a list, against the age that it may have."""
+    """The age of the list, compared with its maximum age."""
 
     def __init__(self, max_age: float) -> None:
         self._max_age = max_age
-        self.confirmed = -math.inf
+        self.confirmed_at = -math.inf
 
-    def confirm(self, sent: float, wait: float, received: float, quiet: bool) -> None:
-        """An answer that is believed, to a call that was `sent` and might `wait`; `quiet`: without news."""
-        # Guards against a source that ends a watch early: its answer shows no more than when it was asked.
-        waited = wait if quiet and received >= sent + wait else 0.0
-        self.confirmed = max(self.confirmed, sent + waited)
+    def confirm(self, sent_at: float, wait: float, received_at: float, unchanged: bool) -> None:
+        """Record a trusted answer to a call that asked to wait `wait`; `unchanged` if it holds no changes."""
+        # A source may end a wait early: its answer then proves no more than the time of the call.
+        waited = wait if unchanged and received_at >= sent_at + wait else 0.0
+        self.confirmed_at = max(self.confirmed_at, sent_at + waited)
 
     def age(self, now: float) -> float:
-        """How long ago the list was known to be the source's; infinite before there was one."""
-        return now - self.confirmed
+        """Time since the list was last known to equal the source's; infinite before the first list."""
+        return now - self.confirmed_at
 
-    def fresh(self, now: float) -> bool:
-        """Whether the list may be answered from."""
+    def is_fresh(self, now: float) -> bool:
+        """Whether the list is young enough to serve."""
         return self.age(now) <= self._max_age
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""A relay's decisions, without sockets: log, age, coalescing, turns, what each call is answered and when."""
+"""Decisions of a relay, without sockets: change log, age, coalescing, admission and answers."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from puffinford.relay.admission import Admission, Turn
+from puffinford.relay.admission import Admission, AdmissionResult
 from puffinford.relay.changes import ChangeLog, LogLimits
 from puffinford.relay.coalescing import CoalescingWindow
-from puffinford.relay.core import BEHIND_SPARE, ListRelay, RelayFigures, Response
+from puffinford.relay.core import CONFIRMATION_MARGIN_MS, ListRelay, RelayParameters, Response
 from puffinford.relay.entries import RawEntry, RawList, decode
 from puffinford.relay.staleness import Staleness
-from puffinford.relay.wire import UNAVAILABLE, WAIT_MOST, BadCall, Call, read_call
+from puffinford.relay.wire import MAX_WAIT_MS, UNAVAILABLE, BadCall, Call, parse_call
 from puffinford.server_list.watch import CallFailed, ListCall, ReceivedAnswer
 
-SOURCE = ("127.0.0.1", 1)
-WIDE = LogLimits(10_000, 1 << 20)
+SOURCE_ADDRESS = ("127.0.0.1", 1)
+AMPLE_LIMITS = LogLimits(10_000, 1 << 20)
 
 
-def entry(ident: str, state: str = "active", **more: object) -> RawEntry:
-    return RawEntry(ident, state, json.dumps({"id": ident, "state": state, **more}).encode())
+def entry(server_id: str, state: str = "active", **more: object) -> RawEntry:
+    return RawEntry(server_id, state, json.dumps({"id": server_id, "state": state, **more}).encode())
 
 
-def told(response: Response | None) -> dict[str, Any]:
+def body_of(response: Response | None) -> dict[str, Any]:
     assert response is not None and response.data.startswith(b"HTTP/1.1 200 ")
     return dict(json.loads(response.data.partition(b"\r\n\r\n")[2]))
 
@@ -39,7 +39,7 @@
 
 # The log
 
-Steps = st.lists(
+change_steps = st.lists(
     st.lists(
         st.tuples(st.sampled_from("abcdef"), st.sampled_from(["active", "leaving", "left"])), max_size=4
     ),
@@ -47,31 +47,31 @@
 )
 
 
-@given(Steps, st.integers(1, 12), st.booleans())
+@given(change_steps, st.integers(1, 12), st.booleans())
 def test_what_follows_the_log_from_any_version_holds_the_list(
-    steps: Any, most: int, as_whole_lists: bool
+    steps: Any, max_entries: int, as_full_lists: bool
 ) -> None:
-    """Also where the log is short, and where the source tells each change as a whole list."""
-    log = ChangeLog(LogLimits(most, 1 << 20))
-    truth: dict[str, str] = {}
-    followers: dict[int, dict[str, str]] = {}  # what a caller at that version holds
-    log.take(RawList(0, True, []))
+    """Includes short logs, and sources that send each change as a full list."""
+    log = ChangeLog(LogLimits(max_entries, 1 << 20))
+    expected: dict[str, str] = {}
+    followers: dict[int, dict[str, str]] = {}  # the list of a caller at each version
+    log.apply(RawList(0, True, []))
     for version, changes in enumerate(steps, 1):
-        followers[version - 1] = dict(truth)
+        followers[version - 1] = dict(expected)
         latest = dict(changes)
-        truth.update(latest)
-        whole = [entry(ident, state) for ident, state in truth.items() if state != "left"]
-        truth = {one.id: one.state for one in whole}
-        news = [entry(ident, state) for ident, state in latest.items()]
-        log.take(RawList(version, as_whole_lists, whole if as_whole_lists else news))
-        assert log.logged <= most
+        expected.update(latest)
+        full_list = [entry(server_id, state) for server_id, state in expected.items() if state != "left"]
+        expected = {listed.id: listed.state for listed in full_list}
+        changes_only = [entry(server_id, state) for server_id, state in latest.items()]
+        log.apply(RawList(version, as_full_lists, full_list if as_full_lists else changes_only))
+        assert log.log_entries <= max_entries
         for index, held in followers.items():
-            changed = log.since(index)
+            changed = log.changes_since(index)
             if changed is None:
                 held = {}
-                changed = log.whole()
-            held = held | {one["id"]: one["state"] for one in map(json.loads, changed)}
-            assert {ident: state for ident, state in held.items() if state != "left"} == truth
+                changed = log.snapshot()
+            held = held | {listed["id"]: listed["state"] for listed in map(json.loads, changed)}
+            assert {server_id: state for server_id, state in held.items() if state != "left"} == expected
 
 
 @given(
@@ -81,23 +81,23 @@
     changes: list[tuple[str, int]], size: int
 ) -> None:
     log = ChangeLog(LogLimits(1_000, size))
-    log.take(RawList(0, True, []))
-    for version, (ident, length) in enumerate(changes, 1):
-        log.take(RawList(version, False, [entry(ident, kind="x" * length)]))
-        assert log.log_size <= size
-        assert log.log_size == sum(len(change.data) for change in log._log.values())
-        whole_reach = log.since(log.floor)
-        assert whole_reach is not None and len(whole_reach) == log.logged
+    log.apply(RawList(0, True, []))
+    for version, (server_id, length) in enumerate(changes, 1):
+        log.apply(RawList(version, False, [entry(server_id, kind="x" * length)]))
+        assert log.log_bytes <= size
+        assert log.log_bytes == sum(len(change.data) for change in log._log.values())
+        all_logged = log.changes_since(log.min_resumable_version)
+        assert all_logged is not None and len(all_logged) == log.log_entries
 
 
-def test_a_source_that_went_back_and_an_empty_list_are_told_as_whole_lists() -> None:
-    log = ChangeLog(WIDE)
-    log.take(RawList(10, True, [entry("a"), entry("b")]))
-    assert log.since(10) == [] and log.since(9) is None and log.since(11) is None
-    log.take(RawList(4, True, [entry("a")]))
-    assert log.since(3) is None and log.since(10) is None and len(log.whole()) == 1
-    log.take(RawList(5, True, []))
-    assert log.since(4) is None and log.whole() == []
+def test_a_source_that_was_set_back_and_an_empty_list_are_sent_as_full_lists() -> None:
+    log = ChangeLog(AMPLE_LIMITS)
+    log.apply(RawList(10, True, [entry("a"), entry("b")]))
+    assert log.changes_since(10) == [] and log.changes_since(9) is None and log.changes_since(11) is None
+    log.apply(RawList(4, True, [entry("a")]))
+    assert log.changes_since(3) is None and log.changes_since(10) is None and len(log.snapshot()) == 1
+    log.apply(RawList(5, True, []))
+    assert log.changes_since(4) is None and log.snapshot() == []
 
 
 # Age
@@ -113,76 +113,78 @@
 def test_a_list_is_never_taken_for_younger_than_the_calls_show(
     calls: list[tuple[float, float, float, bool]], later: float
 ) -> None:
-    """The source writes an answer without news once the wait is over, if it keeps to its word, or before."""
+    """The source should write an answer without changes at the end of the wait, but may write it earlier."""
     staleness = Staleness(2_000.0)
-    assert staleness.age(0.0) == math.inf and not staleness.fresh(0.0)
-    now, written_last = 0.0, -math.inf
-    for pause, wait, taken, quiet in calls:
-        sent = now + pause
-        now = sent + taken  # received; written at the earliest possible moment
-        written_last = max(written_last, sent + wait if quiet and now >= sent + wait else sent)
-        staleness.confirm(sent, wait, now, quiet)
-        assert staleness.confirmed == written_last <= now
-    assert staleness.fresh(now + later) == (now + later - written_last <= 2_000.0)
+    assert staleness.age(0.0) == math.inf and not staleness.is_fresh(0.0)
+    now, last_written_at = 0.0, -math.inf
+    for pause, wait, duration, unchanged in calls:
+        sent_at = now + pause
+        now = sent_at + duration  # received; the source wrote it as early as possible
+        last_written_at = max(
+            last_written_at, sent_at + wait if unchanged and now >= sent_at + wait else sent_at
+        )
+        staleness.confirm(sent_at, wait, now, unchanged)
+        assert staleness.confirmed_at == last_written_at <= now
+    assert staleness.is_fresh(now + later) == (now + later - last_written_at <= 2_000.0)
 
 
 # Coalescing
 
 
 @given(st.lists(st.floats(0, 80), min_size=1, max_size=200))
-def test_news_is_sent_in_time_and_a_burst_in_few_answers(gaps: list[float]) -> None:
+def test_updates_are_sent_in_time_and_a_burst_in_few_answers(gaps: list[float]) -> None:
     window = CoalescingWindow(100.0)
-    now, first, sent = 0.0, None, 0
+    now, first_at, sent = 0.0, None, 0
     for gap in gaps:
         now += gap
-        if window.close(now):
-            assert first is not None and now >= first + 100.0
-            first, sent = None, sent + 1
-        if first is not None:
-            assert now < first + 100.0, "news that is due is not held on by news that follows"
-        window.news(now)
-        first = now if first is None else first
-    assert sent <= sum(gaps) / 100.0 and window.open
-    assert window.close(now + 100.0) and not window.open and not window.close(now + 1e6)
+        if window.close_if_due(now):
+            assert first_at is not None and now >= first_at + 100.0
+            first_at, sent = None, sent + 1
+        if first_at is not None:
+            assert now < first_at + 100.0, "a due update is not delayed by later ones"
+        window.add_update(now)
+        first_at = now if first_at is None else first_at
+    assert sent <= sum(gaps) / 100.0 and window.is_open
+    assert window.close_if_due(now + 100.0) and not window.is_open and not window.close_if_due(now + 1e6)
 
 
-# Turns
+# Admission
 
 
 @given(st.lists(st.tuples(st.sampled_from(["ask", "done", "wait"]), st.integers(1, 70)), max_size=80))
-def test_turns_keep_their_bytes_their_order_and_their_patience(steps: list[tuple[str, int]]) -> None:
+def test_admission_keeps_its_byte_limit_its_order_and_its_timeout(steps: list[tuple[str, int]]) -> None:
     admission = Admission(100, 5, 800.0)
-    now, asked = 0.0, 0
-    writing: dict[Hashable, int] = {}
-    waiting: list[tuple[Hashable, int, float]] = []
+    now, last_caller = 0.0, 0
+    in_flight: dict[Hashable, int] = {}
+    queued: list[tuple[Hashable, int, float]] = []
     for what, number in steps:
         if what == "ask":
-            asked += 1
-            turn = admission.ask(asked, number, now)
-            assert (turn is Turn.NEVER) == (len(waiting) == 5)
-            if turn is Turn.NOW:
-                writing[asked] = number
-            elif turn is Turn.LATER:
-                waiting.append((asked, number, now + 800.0))
-        elif what == "done" and writing:
-            caller = list(writing)[number % len(writing)]
-            admission.done(caller)
-            del writing[caller]
+            last_caller += 1
+            result = admission.request(last_caller, number, now)
+            assert (result is AdmissionResult.REJECTED) == (len(queued) == 5)
+            if result is AdmissionResult.ADMITTED:
+                in_flight[last_caller] = number
+            elif result is AdmissionResult.QUEUED:
+                queued.append((last_caller, number, now + 800.0))
+        elif what == "done" and in_flight:
+            caller = list(in_flight)[number % len(in_flight)]
+            admission.release(caller)
+            del in_flight[caller]
         else:
             now += 10.0 * number
-            gone = admission.expired(now)
-            assert gone == [caller for caller, _, until in waiting if until <= now]
-            waiting = waiting[len(gone) :]
-        for started in admission.next():
-            first, size, _ = waiting.pop(0)
-            assert started == first
-            writing[first] = size
-        assert admission.size == sum(writing.values()) and admission.waiting == len(waiting)
-        assert admission.size <= 100 or len(writing) == 1
-        assert not waiting or admission.size + waiting[0][1] > 100, "nobody waits for nothing"
+            expired = admission.remove_expired(now)
+            assert expired == [caller for caller, _, deadline in queued if deadline <= now]
+            queued = queued[len(expired) :]
+        for admitted in admission.admit_queued():
+            first, size, _ = queued.pop(0)
+            assert admitted == first
+            in_flight[first] = size
+        assert admission.bytes_in_flight == sum(in_flight.values()) and admission.queue_length == len(queued)
+        assert admission.bytes_in_flight <= 100 or len(in_flight) == 1
+        assert not queued or admission.bytes_in_flight + queued[0][1] > 100, "an answer that fits is queued"
 
 
-# Calls as bytes
+# Parsing of calls
 
 
 @pytest.mark.parametrize(
@@ -192,7 +194,7 @@
         ("GET /v1/servers?index=41&wait=20000 HTTP/1.1", Call(41, 20_000.0)),
         ("GET /v1/servers?wait=5&index=-1 HTTP/1.1", Call(-1, 5.0)),
         ("GET /v1/servers?index=0 HTTP/1.0", Call(0, 0.0)),
-        ("GET /v1/servers?index=1&wait=99999999 HTTP/1.1", Call(1, float(WAIT_MOST))),
+        ("GET /v1/servers?index=1&wait=99999999 HTTP/1.1", Call(1, float(MAX_WAIT_MS))),
         ("GET /v1/servers?index=x HTTP/1.1", 400),
         ("GET /v1/servers?index=1&wait=-5 HTTP/1.1", 400),
         ("GET /v1/servers?index=" + "9" * 40 + " HTTP/1.1", 400),
@@ -205,16 +207,16 @@
 def test_calls_are_read_strictly(line: str, read: Call | int) -> None:
     head = line.encode("latin-1") + b"\r\nHost: here\r\n\r\n"
     if isinstance(read, Call):
-        assert read_call(head) == read
+        assert parse_call(head) == read
         return
     with pytest.raises(BadCall, match=str(read)):
-        read_call(head)
+        parse_call(head)
 
 
 @given(st.binary(max_size=300))
 def test_no_bytes_do_more_than_be_refused(head: bytes) -> None:
     try:
-        read_call(b"GET /v1/servers" + head)
+        parse_call(b"GET /v1/servers" + head)
     except BadCall as exc:
         assert exc.response.startswith(b"HTTP/1.1 40")
 
@@ -231,183 +233,197 @@
 
 
 def test_entries_are_kept_as_they_came_and_bad_ones_are_left_out_by_themselves() -> None:
-    wrong: list[str] = []
-    named = {"id": "a", "addr": "10.0.0.1:1", "state": "resting", "colour": "blue"}
-    body = json.dumps({"version": 3, "full": True, "servers": [named, 5, {"id": ""}, {"id": "b"}]}).encode()
-    (first, second) = decode(body, wrong.append).entries
-    assert json.loads(first.data) == named and second.state == "active" and len(wrong) == 2
+    rejected: list[str] = []
+    fields = {"id": "a", "addr": "10.0.0.1:1", "state": "resting", "colour": "blue"}
+    body = json.dumps({"version": 3, "full": True, "servers": [fields, 5, {"id": ""}, {"id": "b"}]}).encode()
+    (first, second) = decode(body, rejected.append).entries
+    assert json.loads(first.data) == fields and second.state == "active" and len(rejected) == 2
 
 
 # The relay
 
 
-class Played:
-    """A relay with a source by hand; times are ms."""
+class RelayHarness:
+    """A relay whose upstream answers are passed in by the test; times are in ms."""
 
-    def __init__(self, **figures: Any) -> None:
-        self.relay = ListRelay(RelayFigures(**figures))
+    def __init__(self, **parameters: Any) -> None:
+        self.relay = ListRelay(RelayParameters(**parameters))
         self.now = 10_000.0
         self.index: int | None = None
         self.note = ""
 
-    def hear(self, version: int, *entries: RawEntry, full: bool = False, wait: float = 0.0) -> None:
-        """An answer to a call that waited so long."""
-        asked = ListCall(SOURCE, self.index, wait, self.now)
+    def receive(self, version: int, *entries: RawEntry, full: bool = False, wait: float = 0.0) -> None:
+        """Pass in an answer to a call that waited `wait` ms."""
+        list_call = ListCall(SOURCE_ADDRESS, self.index, wait, self.now)
         self.now += wait
-        heard = ReceivedAnswer(RawList(version, full, list(entries)), asked, self.now)
-        self.index, self.note = self.relay.heard(heard, self.now)
+        received = ReceivedAnswer(RawList(version, full, list(entries)), list_call, self.now)
+        self.index, self.note = self.relay.handle_answer(received, self.now)
 
     def call(self, caller: str, index: int | None = None, wait: float = 0.0) -> Response | None:
-        return self.relay.call(caller, Call(index, wait), self.now)
+        return self.relay.handle_call(caller, Call(index, wait), self.now)
 
-    def due(self, after: float = 0.0) -> dict[str, Response]:
-        """What is written to whom after so many ms, all of it."""
+    def take_due(self, after: float = 0.0) -> dict[str, Response]:
+        """All responses due `after` ms later, by caller."""
         self.now += after
         written: dict[str, Response] = {}
-        while responses := self.relay.due(self.now, 7):
+        while responses := self.relay.take_due(self.now, 7):
             for response in responses:
                 assert isinstance(response.caller, str) and response.caller not in written
                 written[response.caller] = response
-                self.relay.left(response.caller)
+                self.relay.caller_disconnected(response.caller)
         return written
 
 
 def test_the_same_protocol_downstream() -> None:
-    played = Played()
-    assert played.call("early") == Response("early", UNAVAILABLE), "no list yet"
-    played.hear(41, entry("a", colour="blue"), entry("b"), full=True)
-    whole = told(played.call("c"))
-    assert (whole["version"], whole["full"]) == (41, True) and whole["servers"][0]["colour"] == "blue"
-    assert told(played.call("c", 41)) == {"version": 41, "full": False, "servers": []}
-    assert played.call("w", 41, 700.0) is None and not played.due(699.0)
-    assert told(played.due(1.0)["w"]) == {"version": 41, "full": False, "servers": []}
+    harness = RelayHarness()
+    assert harness.call("early") == Response("early", UNAVAILABLE), "no list received yet"
+    harness.receive(41, entry("a", colour="blue"), entry("b"), full=True)
+    full_list = body_of(harness.call("c"))
+    assert (full_list["version"], full_list["full"]) == (41, True) and full_list["servers"][0][
+        "colour"
+    ] == "blue"
+    assert body_of(harness.call("c", 41)) == {"version": 41, "full": False, "servers": []}
+    assert harness.call("w", 41, 700.0) is None and not harness.take_due(699.0)
+    assert body_of(harness.take_due(1.0)["w"]) == {"version": 41, "full": False, "servers": []}
     for name in "xyz":
-        assert played.call(name, 41, 1_000.0) is None
-    played.relay.left("z")  # its connection ended
-    played.hear(43, entry("a", "leaving"))
-    assert not played.due(99.0)
-    written = played.due(1.0)
+        assert harness.call(name, 41, 1_000.0) is None
+    harness.relay.caller_disconnected("z")
+    harness.receive(43, entry("a", "leaving"))
+    assert not harness.take_due(99.0)
+    written = harness.take_due(1.0)
     assert set(written) == {"x", "y"} and written["x"].data is written["y"].data, "encoded once"
-    assert states(told(written["x"])) == {"a": "leaving"} and told(written["x"])["version"] == 43
-    assert told(played.call("c", 40))["full"], "the log does not reach back so far"
+    assert states(body_of(written["x"])) == {"a": "leaving"} and body_of(written["x"])["version"] == 43
+    assert body_of(harness.call("c", 40))["full"], "the log does not reach back to version 40"
 
 
 def test_a_burst_of_three_hundred_changes_is_a_few_answers_a_watcher() -> None:
-    played = Played(max_age=1e9)
-    played.hear(0, *(entry(f"s-{number}") for number in range(300)), full=True)
+    harness = RelayHarness(max_age=1e9)
+    harness.receive(0, *(entry(f"s-{number}") for number in range(300)), full=True)
     index, answers, seen = 0, 0, {}
-    played.call("w", index, 1_500.0)
+    harness.call("w", index, 1_500.0)
     for number in range(300):
-        played.hear(number + 1, entry(f"s-{number}", "leaving"))
-        for response in played.due(1.0).values():
-            answer = told(response)
+        harness.receive(number + 1, entry(f"s-{number}", "leaving"))
+        for response in harness.take_due(1.0).values():
+            answer = body_of(response)
             index, answers = answer["version"], answers + 1
             seen.update(states(answer))
-            assert played.call("w", index, 1_500.0) is None, "news is gathered for this call as well"
-    for response in played.due(100.0).values():
-        seen.update(states(told(response)))
+            assert harness.call("w", index, 1_500.0) is None, (
+                "later changes are coalesced for this call as well"
+            )
+    for response in harness.take_due(100.0).values():
+        seen.update(states(body_of(response)))
     assert len(seen) == 300 and 2 <= answers <= 3
 
 
-@pytest.mark.parametrize("stood_still", [4_000.0, 60_000.0])
-def test_what_stood_still_answers_nothing_from_its_old_list(stood_still: float) -> None:
-    played = Played()
-    played.hear(1, entry("a"), full=True)
+@pytest.mark.parametrize("suspended_ms", [4_000.0, 60_000.0])
+def test_a_suspended_relay_answers_nothing_from_its_old_list(suspended_ms: float) -> None:
+    harness = RelayHarness()
+    harness.receive(1, entry("a"), full=True)
     for number in range(20):
-        played.call(f"w{number}", 1, 60_000.0)
-    assert not played.due(2_000.0)
-    played.now += stood_still
-    assert played.call("c", 1) == Response("c", UNAVAILABLE) == played.call("c")
-    # An answer of before lies there unread: it shows how the source was then, and not how it is now.
-    asked = ListCall(SOURCE, 1, 500.0, 10_000.0)
-    played.relay.heard(ReceivedAnswer(RawList(1, False, []), asked, played.now), played.now)
-    assert played.call("c", 1) == Response("c", UNAVAILABLE)
-    written = played.due()
+        harness.call(f"w{number}", 1, 60_000.0)
+    assert not harness.take_due(2_000.0)
+    harness.now += suspended_ms
+    assert harness.call("c", 1) == Response("c", UNAVAILABLE) == harness.call("c")
+    # An answer received before the suspension and read after it confirms the list only as of the call.
+    list_call = ListCall(SOURCE_ADDRESS, 1, 500.0, 10_000.0)
+    harness.relay.handle_answer(ReceivedAnswer(RawList(1, False, []), list_call, harness.now), harness.now)
+    assert harness.call("c", 1) == Response("c", UNAVAILABLE)
+    written = harness.take_due()
     assert len(written) == 20 and all(response.data is UNAVAILABLE for response in written.values())
-    assert played.relay.watchers == 0
-    played.hear(1)
-    assert told(played.call("c", 1))["version"] == 1
+    assert harness.relay.watchers == 0
+    harness.receive(1)
+    assert body_of(harness.call("c", 1))["version"] == 1
 
 
-def test_a_watch_without_news_confirms_the_list_as_of_its_end() -> None:
-    played = Played()
-    played.hear(1, entry("a"), full=True)
+def test_a_watch_without_changes_confirms_the_list_as_of_its_end() -> None:
+    harness = RelayHarness()
+    harness.receive(1, entry("a"), full=True)
     for _ in range(8):
-        played.hear(1, wait=500.0)
-    assert played.relay.staleness.age(played.now) == 0.0
-    played.now += 2_000.0
-    assert told(played.call("c", 1)) and played.due() == {}
-    played.now += 1.0
-    assert played.call("c", 1) == Response("c", UNAVAILABLE)
+        harness.receive(1, wait=500.0)
+    assert harness.relay.staleness.age(harness.now) == 0.0
+    harness.now += 2_000.0
+    assert body_of(harness.call("c", 1)) and harness.take_due() == {}
+    harness.now += 1.0
+    assert harness.call("c", 1) == Response("c", UNAVAILABLE)
 
 
 def test_a_caller_with_a_newer_list_waits_until_the_relay_knows_better() -> None:
-    """It is behind: the caller gets the news, and never the older list."""
-    played = Played()
-    played.hear(5, entry("a"), full=True)
-    assert played.call("w", 7, 1_500.0) is None and played.call("c", 7) is None
-    assert not played.due(200.0)
-    played.hear(7, entry("a", "leaving"))
-    played.call("late", 9)
-    assert told(played.due(100.0)["c"]) == {"version": 7, "full": False, "servers": []}
-    assert played.relay.watchers == 2, "the watch goes on waiting at the version that it has"
-    # The source does not speak: nothing is known, and nothing is said.
-    silent = 1.5 * 500.0 + BEHIND_SPARE
-    assert played.due(silent) == {"late": Response("late", UNAVAILABLE)}
-
-
-def test_a_source_that_really_went_back_is_told_as_a_whole_list_once_it_is_sure() -> None:
-    played = Played()
-    played.hear(9, entry("a"), entry("b"), full=True)
-    played.call("w", 9, 1_500.0)
-    played.hear(3, entry("a"), full=True)
-    assert played.note == "version 3 after 9" and played.index is None
-    bad = told(played.due(100.0)["w"])
-    assert (bad["version"], states(bad)) == (9, {"b": "left"}), "bad news is told from any answer"
-    assert states(told(played.call("c", 9))) == {"b": "left"}, "to every caller until it is believed or not"
-    played.call("w", 9, 1_500.0)
-    played.hear(3, entry("a"), full=True)
-    assert not played.note and not played.due(100.0), "the call came before the source was asked"
-    played.hear(3, wait=500.0)
-    answer = told(played.due()["w"])
+    """A lagging relay sends such a caller the changes, never its own older list."""
+    harness = RelayHarness()
+    harness.receive(5, entry("a"), full=True)
+    assert harness.call("w", 7, 1_500.0) is None and harness.call("c", 7) is None
+    assert not harness.take_due(200.0)
+    harness.receive(7, entry("a", "leaving"))
+    harness.call("late", 9)
+    assert body_of(harness.take_due(100.0)["c"]) == {"version": 7, "full": False, "servers": []}
+    assert harness.relay.watchers == 2, "the watch keeps waiting at its version"
+    # The source is silent, so the relay cannot tell which list is current and refuses.
+    confirmation_timeout = 1.5 * 500.0 + CONFIRMATION_MARGIN_MS
+    assert harness.take_due(confirmation_timeout) == {"late": Response("late", UNAVAILABLE)}
+
+
+def test_a_source_that_was_set_back_is_sent_as_a_full_list_once_confirmed() -> None:
+    harness = RelayHarness()
+    harness.receive(9, entry("a"), entry("b"), full=True)
+    harness.call("w", 9, 1_500.0)
+    harness.receive(3, entry("a"), full=True)
+    assert harness.note == "version 3 after 9" and harness.index is None
+    unconfirmed = body_of(harness.take_due(100.0)["w"])
+    assert (unconfirmed["version"], states(unconfirmed)) == (9, {"b": "left"}), (
+        "changes for the worse are sent even from a suspect answer"
+    )
+    assert states(body_of(harness.call("c", 9))) == {"b": "left"}, (
+        "they are sent to every caller until the next trusted answer"
+    )
+    harness.call("w", 9, 1_500.0)
+    harness.receive(3, entry("a"), full=True)
+    assert not harness.note and not harness.take_due(100.0), (
+        "the source was not called after this call arrived"
+    )
+    harness.receive(3, wait=500.0)
+    answer = body_of(harness.take_due()["w"])
     assert (answer["version"], answer["full"], states(answer)) == (3, True, {"a": "active"})
 
 
 def test_a_flapping_source_leaves_the_last_list_in_force() -> None:
-    played = Played()
-    played.hear(9, entry("a"), full=True)
-    played.hear(3, entry("b"), full=True)
-    played.hear(9, entry("a"), full=True)
-    assert states(told(played.call("c"))) == {"a": "active"}
-    played.hear(9, entry("a", "leaving"), entry("a"), full=True)
-    assert states(told(played.call("c"))) == {"a": "leaving"}, "of a doubled entry the worse state counts"
+    harness = RelayHarness()
+    harness.receive(9, entry("a"), full=True)
+    harness.receive(3, entry("b"), full=True)
+    harness.receive(9, entry("a"), full=True)
+    assert states(body_of(harness.call("c"))) == {"a": "active"}
+    harness.receive(9, entry("a", "leaving"), entry("a"), full=True)
+    assert states(body_of(harness.call("c"))) == {"a": "leaving"}, (
+        "the worse state of a duplicate entry counts"
+    )
 
 
 def test_through_two_tiers_a_confirmation_counts_for_less() -> None:
-    played = Played(max_age=1_000.0, upstream_age=1_000.0, wait=200.0)
-    played.hear(5, entry("a"), full=True)
-    assert played.call("c", 7, 1_500.0) is None
+    harness = RelayHarness(max_age=1_000.0, upstream_age=1_000.0, wait=200.0)
+    harness.receive(5, entry("a"), full=True)
+    assert harness.call("c", 7, 1_500.0) is None
     for _ in range(5):
-        played.hear(5, wait=200.0)
-        assert not played.due(), "what is upstream may be 1,000 old"
-    played.hear(5, wait=200.0)
-    assert told(played.due()["c"])["full"]
-
-
-def test_a_herd_that_asks_for_all_gets_its_turns_or_a_no_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("puffinford.relay.core.WRITING_MOST", 300_000)
-    played = Played()
-    played.hear(1, *(entry(f"s-{number:04}", kind="x" * 50) for number in range(1_000)), full=True)
-    at_once = [played.call(f"c{number}") for number in range(50)]
-    written = [response for response in at_once if response is not None]
-    assert 1 <= len(written) <= 4 and played.relay.held <= 600_000
+        harness.receive(5, wait=200.0)
+        assert not harness.take_due(), "the upstream list may be 1,000 ms old"
+    harness.receive(5, wait=200.0)
+    assert body_of(harness.take_due()["c"])["full"]
+
+
+def test_many_full_list_calls_at_once_are_admitted_in_turn_or_refused_in_time(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr("puffinford.relay.core.MAX_IN_FLIGHT_BYTES", 300_000)
+    harness = RelayHarness()
+    harness.receive(1, *(entry(f"s-{number:04}", kind="x" * 50) for number in range(1_000)), full=True)
+    immediate = [harness.call(f"c{number}") for number in range(50)]
+    written = [response for response in immediate if response is not None]
+    assert 1 <= len(written) <= 4 and harness.relay.buffered_bytes <= 600_000
     for response in written:
-        played.relay.left(response.caller)
-    later = played.relay.due(played.now, 100)
-    assert len(later) == len(written), "as many again, and no more"
-    refused = played.due(801.0)
+        harness.relay.caller_disconnected(response.caller)
+    later = harness.relay.take_due(harness.now, 100)
+    assert len(later) == len(written), "each finished answer admits one queued answer"
+    refused = harness.take_due(801.0)
     assert len(refused) == 50 - 2 * len(written) and all(r.data is UNAVAILABLE for r in refused.values())
     for response in later:
-        played.relay.left(response.caller)
-    played.relay.cache.clear()
-    assert played.relay.held == played.relay.watchers == 0, "back where it was"
+        harness.relay.caller_disconnected(response.caller)
+    harness.relay.cache.clear()
+    assert harness.relay.buffered_bytes == harness.relay.watchers == 0, "all buffers are released"
--- a/tests/test_relay_age.py
+++ b/tests/test_relay_age.py
@@ -1,7 +1,6 @@
-"""The bound on the list's age through relays: 6 s after the source had a change, each balancer knows it.
+"""Age bound through relays: each balancer knows of a change within 6 s, whatever connections or relays fail.
 
-The clock is settable and the sockets are real; watch, relay and guard are the program's own. Sources, the
-calls to relays, or both let us down in the worst order, at every phase of their cycles.
+Runs the program's own watch, relay and list guard on a settable clock and real sockets.
 """
 
 from __future__ import annotations
@@ -28,49 +27,49 @@
 from puffinford.state.recovery import ListGuard
 
 pytestmark = pytest.mark.anyio
-TOLD = 6_000.0  # ms after which a change counts as told
-STEP = 50.0
-TURNS = 30  # of the loop in a step: what was sent in it arrives, over three hops
+MAX_DELAY_MS = 6_000.0
+STEP_MS = 50.0
+LOOP_TURNS_PER_STEP = 30  # enough for data to arrive over three hops
 ONE_TIER, TWO_TIERS = "one tier", "two tiers"
 
 
 @dataclass
 class Source:
-    """The list: one server, which begins to drain at version 2."""
+    """A list service with one server, which `drain` sets to `leaving`."""
 
     clock: SettableClock
     version: int = 1
     state: str = "active"
-    news: anyio.Event = field(default_factory=anyio.Event)
+    changed: anyio.Event = field(default_factory=anyio.Event)
     calls: int = 0
-    bad: bytes = b""  # the answer to every call, and then silence
+    bad_answer: bytes = b""  # if set, sent to every call, whose connection then stays open
 
     def drain(self) -> None:
         self.version, self.state = self.version + 1, "leaving"
-        self.news.set()
-        self.news = anyio.Event()
+        self.changed.set()
+        self.changed = anyio.Event()
 
-    async def play(self, stream: anyio.abc.SocketStream) -> None:
+    async def serve(self, stream: anyio.abc.SocketStream) -> None:
         target = (await stream.receive()).split(b" ")[1]
         self.calls += 1
-        if self.bad:
-            await stream.send(self.bad)
+        if self.bad_answer:
+            await stream.send(self.bad_answer)
             await anyio.sleep_forever()
-        figures = dict(pair.split(b"=") for pair in target.partition(b"?")[2].split(b"&") if pair)
-        index = int(figures.get(b"index", b"-1"))
+        parameters = dict(pair.split(b"=") for pair in target.partition(b"?")[2].split(b"&") if pair)
+        index = int(parameters.get(b"index", b"-1"))
         version = self.version
         if index == version:
-            with self.clock.limit(float(figures[b"wait"])):
-                await self.news.wait()
+            with self.clock.limit(float(parameters[b"wait"])):
+                await self.changed.wait()
         full = index < 0 or index > self.version
         entry = {"id": "s-1", "addr": "127.0.0.1:9", "state": self.state}
-        told = {"version": self.version, "full": full, "servers": [entry] if index != self.version else []}
-        body = json.dumps(told).encode()
+        fields = {"version": self.version, "full": full, "servers": [entry] if index != self.version else []}
+        body = json.dumps(fields).encode()
         await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
 
 class Fleet:
-    """Relays, each with a link to what is above it, and a balancer with a link to each of its relays."""
+    """Relays, each with a link to its upstream, and a balancer with a link to each of its relays."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
         self.clock = SettableClock()
@@ -80,13 +79,13 @@
         self.versions: list[int] = []
         self.services: list[RelayService] = []
 
-    async def serve(self, source: Source) -> int:
+    async def start_source(self, source: Source) -> int:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
 
         async def handle(stream: anyio.abc.SocketStream) -> None:
             async with stream:
                 with suppress(anyio.EndOfStream, anyio.BrokenResourceError):
-                    await source.play(stream)
+                    await source.serve(stream)
 
         self.tasks.start_soon(listener.serve, handle)
         return int(listener.extra(anyio.abc.SocketAttribute.local_port))
@@ -94,54 +93,54 @@
     def link(self, port: int) -> Link:
         return Link("", ("127.0.0.1", port), self.clock, self.tasks)
 
-    async def relay(self, port: int, tiers: str, last: bool, max_age: float) -> int:
+    async def start_relay(self, port: int, tiers: str, is_last: bool, max_age: float) -> int:
         if tiers == ONE_TIER:
-            told = RelaySettings(("127.0.0.1", 0), (("127.0.0.1", port),), max_age)
+            settings = RelaySettings(("127.0.0.1", 0), (("127.0.0.1", port),), max_age)
         else:
-            half, above = max_age / 2.0, max_age / 2.0 if last else 0.0
-            told = RelaySettings(("127.0.0.1", 0), (("127.0.0.1", port),), half, above, wait=200.0)
-        service = RelayService(told, self.clock, random.Random(len(self.services)))
-        _, number = await service.listen()
+            half, upstream_age = max_age / 2.0, max_age / 2.0 if is_last else 0.0
+            settings = RelaySettings(("127.0.0.1", 0), (("127.0.0.1", port),), half, upstream_age, wait=200.0)
+        service = RelayService(settings, self.clock, random.Random(len(self.services)))
+        _, relay_port = await service.listen()
         self.tasks.start_soon(service.run)
         self.services.append(service)
-        return number
+        return relay_port
 
-    async def balance(self, relays: list[Link], seed: int) -> None:
-        """A balancer from now on, once the relays have their list; it prefers the first."""
+    async def start_balancer(self, relays: list[Link], seed: int) -> None:
+        """Start a balancer that prefers the first relay, once the relays have their list."""
         await self.pass_time(1_000.0)
         addresses = [("127.0.0.1", link.number) for link in relays]
-        nowhere = ("127.0.0.1", 1)
+        unused_address = ("127.0.0.1", 1)
         rng = random.Random(seed)
-        watch = DiscoveryWatch(nowhere, None, self.clock, self._take, False, rng, addresses)
+        watch = DiscoveryWatch(unused_address, None, self.clock, self._apply, False, rng, addresses)
         self.tasks.start_soon(watch.run)
-        await self.pass_time(STEP)
+        await self.pass_time(STEP_MS)
         watch.subscribe(True)
 
-    def _take(self, machines: ServerEntries | None) -> int | None:
-        if machines is None:
+    def _apply(self, answer: ServerEntries | None) -> int | None:
+        if answer is None:
             return self.guard.version
-        taken = self.guard.judge(machines)
-        if taken.entries is not None:
-            self.versions.append(taken.entries.version)
-            for machine in taken.entries.entries:
-                self.state = machine.server.state
-        return taken.version
+        verdict = self.guard.judge(answer)
+        if verdict.entries is not None:
+            self.versions.append(verdict.entries.version)
+            for entry in verdict.entries.entries:
+                self.state = entry.server.state
+        return verdict.version
 
     async def pass_time(self, ms: float, until: Callable[[], bool] = lambda: False) -> float:
         passed = 0.0
         while passed < ms and not until():
-            self.clock.advance(STEP)
-            passed += STEP
-            for _ in range(TURNS):
+            self.clock.advance(STEP_MS)
+            passed += STEP_MS
+            for _ in range(LOOP_TURNS_PER_STEP):
                 await anyio.sleep(0)
         return passed
 
-    def knows(self) -> bool:
+    def knows_of_drain(self) -> bool:
         return self.state is ServerState.DRAINING
 
 
 @asynccontextmanager
-async def fleet() -> AsyncIterator[Fleet]:
+async def running_fleet() -> AsyncIterator[Fleet]:
     with anyio.fail_after(60):
         async with anyio.create_task_group() as tasks:
             yield Fleet(tasks)
@@ -150,64 +149,66 @@
 
 @dataclass
 class Chain:
-    """A relay, with the one above it where there are two tiers, and its links from the source down."""
+    """A relay of the last tier: its upstream links, from the source down, and the balancer's link to it."""
 
-    above: list[Link]
-    way: Link
+    upstream_links: list[Link]
+    link: Link
 
 
-async def chains(here: Fleet, tiers: str, count: int, max_age: float) -> tuple[Source, list[Chain]]:
-    """A source, and relays side by side that hear of it."""
-    source = Source(here.clock)
-    port = await here.serve(source)
-    made = []
+async def start_chains(fleet: Fleet, tiers: str, count: int, max_age: float) -> tuple[Source, list[Chain]]:
+    """Start a source and `count` relays, or chains of two, beside one another."""
+    source = Source(fleet.clock)
+    port = await fleet.start_source(source)
+    chains = []
     for _ in range(count):
-        above = [here.link(port)]
-        number = await here.relay(above[0].number, tiers, tiers == ONE_TIER, max_age)
+        upstream_links = [fleet.link(port)]
+        relay_port = await fleet.start_relay(upstream_links[0].number, tiers, tiers == ONE_TIER, max_age)
         if tiers == TWO_TIERS:
-            above.append(here.link(number))
-            number = await here.relay(above[1].number, tiers, True, max_age)
-        made.append(Chain(above, here.link(number)))
-    return source, made
+            upstream_links.append(fleet.link(relay_port))
+            relay_port = await fleet.start_relay(upstream_links[1].number, tiers, True, max_age)
+        chains.append(Chain(upstream_links, fleet.link(relay_port)))
+    return source, chains
 
 
-async def late(tiers: str, phase: float, answers_for: float) -> float:
-    """How late a balancer of three relays hears, if what its first relay hears from falls silent just before
-    the change, its second relay with it, and the first one too after it has answered for so long.
+async def measure_delay(tiers: str, phase: float, answers_for: float) -> float:
+    """Time in ms until a balancer with three relays knows of a change.
+
+    The first relay's upstream and the second relay fall silent just before the change, the first relay
+    `answers_for` ms after it.
     """
-    async with fleet() as here:
-        source, (first, second, third) = await chains(here, tiers, 3, 2_000.0)
-        await here.balance([first.way, second.way, third.way], 1 + int(phase) % 7)
-        await here.pass_time(2_500.0 + phase)
-        assert here.state is ServerState.LIVE and not second.way.lines and not third.way.lines
-
-        async def silent(link: Link, after: float) -> None:
-            await here.clock.sleep(after)
+    async with running_fleet() as fleet:
+        source, (first, second, third) = await start_chains(fleet, tiers, 3, 2_000.0)
+        await fleet.start_balancer([first.link, second.link, third.link], 1 + int(phase) % 7)
+        await fleet.pass_time(2_500.0 + phase)
+        assert fleet.state is ServerState.LIVE and not second.link.lines and not third.link.lines
+
+        async def hold(link: Link, after: float) -> None:
+            await fleet.clock.sleep(after)
             await link.become(Fault("hold"))
 
-        await first.above[0].become(Fault("hold"))
+        await first.upstream_links[0].become(Fault("hold"))
         source.drain()
-        for link in first.above[1:]:
-            # What is above falls silent itself, as its list is about to be too old.
-            here.tasks.start_soon(silent, link, 1_000.0 - 2 * STEP)
-        here.tasks.start_soon(silent, first.way, answers_for)
-        here.tasks.start_soon(silent, second.way, 0.0)
-        return await here.pass_time(3 * TOLD, here.knows)
-
-
-async def late_from_stale(tiers: str, max_age: float) -> float:
-    """The same of a balancer whose first relay goes on answering for as long as it may."""
-    async with fleet() as here:
-        source, (first, second) = await chains(here, tiers, 2, max_age)
-        await here.balance([first.way, second.way], 1)
-        await here.pass_time(3_000.0)
-        await first.above[0].become(Fault("hold"))
+        for link in first.upstream_links[1:]:
+            # The upper relay falls silent shortly before its list becomes too old.
+            fleet.tasks.start_soon(hold, link, 1_000.0 - 2 * STEP_MS)
+        fleet.tasks.start_soon(hold, first.link, answers_for)
+        fleet.tasks.start_soon(hold, second.link, 0.0)
+        return await fleet.pass_time(3 * MAX_DELAY_MS, fleet.knows_of_drain)
+
+
+async def stale_relay_delay(tiers: str, max_age: float) -> float:
+    """Time in ms until a balancer knows of a change if its first relay, cut off, answers until `max_age`."""
+    async with running_fleet() as fleet:
+        source, (first, second) = await start_chains(fleet, tiers, 2, max_age)
+        await fleet.start_balancer([first.link, second.link], 1)
+        await fleet.pass_time(3_000.0)
+        await first.upstream_links[0].become(Fault("hold"))
         source.drain()
-        return await here.pass_time(2 * TOLD, here.knows)
+        return await fleet.pass_time(2 * MAX_DELAY_MS, fleet.knows_of_drain)
 
 
 @pytest.fixture(autouse=True)
-def quiet(caplog: pytest.LogCaptureFixture) -> None:
+def log_errors_only(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.ERROR)
 
 
@@ -217,78 +218,78 @@
 async def test_a_change_is_known_in_6_s_whatever_falls_silent(
     tiers: str, phase: float, answers_for: float
 ) -> None:
-    assert await late(tiers, phase, answers_for) <= TOLD
+    assert await measure_delay(tiers, phase, answers_for) <= MAX_DELAY_MS
 
 
 @pytest.mark.parametrize("tiers", [ONE_TIER, TWO_TIERS])
 async def test_a_relay_that_did_not_look_at_its_age_would_break_the_bound(tiers: str) -> None:
-    """The story above bites: with lists of any age, the first relay keeps its balancer from the change."""
-    assert await late_from_stale(tiers, 2_000.0) <= TOLD < await late_from_stale(tiers, 60_000.0)
+    """Checks that the age limit matters: without it, the first relay hides the change from its balancer."""
+    assert await stale_relay_delay(tiers, 2_000.0) <= MAX_DELAY_MS < await stale_relay_delay(tiers, 60_000.0)
 
 
 @pytest.mark.parametrize("down", [3_000.0, 10_000.0, 30_000.0])
 async def test_a_source_that_was_away_from_all_relays_is_heard_6_s_after_it_is_back(down: float) -> None:
-    async with fleet() as here:
-        source, relays = await chains(here, ONE_TIER, 2, 2_000.0)
-        above = [chain.above[0] for chain in relays]
-        await here.balance([chain.way for chain in relays], 1)
-        await here.pass_time(3_000.0)
-        for link in above:
+    async with running_fleet() as fleet:
+        source, relays = await start_chains(fleet, ONE_TIER, 2, 2_000.0)
+        upstream_links = [chain.upstream_links[0] for chain in relays]
+        await fleet.start_balancer([chain.link for chain in relays], 1)
+        await fleet.pass_time(3_000.0)
+        for link in upstream_links:
             await link.become(Fault("rst"))
         source.drain()
-        await here.pass_time(down)
-        assert here.state is ServerState.LIVE, "the last list stays in force"
-        for link in above:
+        await fleet.pass_time(down)
+        assert fleet.state is ServerState.LIVE, "the last list stays in use"
+        for link in upstream_links:
             await link.become(Fault())
-        assert await here.pass_time(TOLD, here.knows) <= TOLD - 1_000.0
+        assert await fleet.pass_time(MAX_DELAY_MS, fleet.knows_of_drain) <= MAX_DELAY_MS - 1_000.0
 
 
 async def test_an_older_list_never_follows_a_newer_one_after_a_relay_came_back_with_it() -> None:
-    """The balancer's other relay is silent, so it hears from the one with the older source alone, twice."""
-    async with fleet() as here:
-        old, new = Source(here.clock), Source(here.clock, version=8)
-        ports = [await here.serve(old), await here.serve(new)]
-        ways = [here.link(await here.relay(port, ONE_TIER, True, 2_000.0)) for port in ports]
-        await ways[0].become(Fault("rst"))
-        await here.balance(ways, 1)
-        await here.pass_time(3_000.0)
+    """The balancer's other relay is silent, so only the relay with the older source answers, repeatedly."""
+    async with running_fleet() as fleet:
+        old, new = Source(fleet.clock), Source(fleet.clock, version=8)
+        ports = [await fleet.start_source(old), await fleet.start_source(new)]
+        links = [fleet.link(await fleet.start_relay(port, ONE_TIER, True, 2_000.0)) for port in ports]
+        await links[0].become(Fault("rst"))
+        await fleet.start_balancer(links, 1)
+        await fleet.pass_time(3_000.0)
         new.drain()
-        await here.pass_time(1_000.0)
-        assert here.versions[-1] == 9 and here.knows()
-        await ways[1].become(Fault("hold"))
-        await ways[0].become(Fault())
-        await here.pass_time(9_000.0)
-        assert here.knows(), "twice the same from the same relay is not believed"
-        await ways[1].become(Fault())
+        await fleet.pass_time(1_000.0)
+        assert fleet.versions[-1] == 9 and fleet.knows_of_drain()
+        await links[1].become(Fault("hold"))
+        await links[0].become(Fault())
+        await fleet.pass_time(9_000.0)
+        assert fleet.knows_of_drain(), "an older list repeated by the same relay alone is not trusted"
+        await links[1].become(Fault())
         new.drain()
-        await here.pass_time(3_000.0)
-        assert here.versions[-1] == 10 and here.versions == sorted(here.versions)
+        await fleet.pass_time(3_000.0)
+        assert fleet.versions[-1] == 10 and fleet.versions == sorted(fleet.versions)
 
 
 async def test_a_source_that_went_back_is_believed_once_two_relays_say_so() -> None:
-    async with fleet() as here:
-        source = Source(here.clock, version=8)
-        port = await here.serve(source)
-        ways = [here.link(await here.relay(port, ONE_TIER, True, 2_000.0)) for _ in range(2)]
-        await here.balance(ways, 1)
-        await here.pass_time(3_000.0)
+    async with running_fleet() as fleet:
+        source = Source(fleet.clock, version=8)
+        port = await fleet.start_source(source)
+        links = [fleet.link(await fleet.start_relay(port, ONE_TIER, True, 2_000.0)) for _ in range(2)]
+        await fleet.start_balancer(links, 1)
+        await fleet.pass_time(3_000.0)
         source.version = 2
         source.drain()
-        await here.pass_time(4_000.0, lambda: here.versions[-1] == 3)
-        assert here.versions[-1] == 3 and here.knows()
+        await fleet.pass_time(4_000.0, lambda: fleet.versions[-1] == 3)
+        assert fleet.versions[-1] == 3 and fleet.knows_of_drain()
 
 
-def answer(body: bytes, length: int | None = None) -> bytes:
+def http_response(body: bytes, length: int | None = None) -> bytes:
     size = len(body) if length is None else length
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (size, body)
 
 
 BAD_ANSWERS = {
-    "half": answer(b'{"version":2,"full":true,"serv', 900),
-    "no list": answer(b"not a list"),
-    "too long": answer(b" " * (5 << 20)),
-    "a frame of another form": answer(b'{"version":"2","full":1,"servers":{}}'),
-    "changes of an older list": answer(b'{"version":0,"full":false,"servers":[]}'),
+    "half": http_response(b'{"version":2,"full":true,"serv', 900),
+    "no list": http_response(b"not a list"),
+    "too long": http_response(b" " * (5 << 20)),
+    "a frame of another form": http_response(b'{"version":"2","full":1,"servers":{}}'),
+    "changes of an older list": http_response(b'{"version":0,"full":false,"servers":[]}'),
     "silence": b"HTTP/1.1 200 OK\r\n",
 }
 
@@ -298,20 +299,20 @@
     bad: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
-    async with fleet() as here:
-        source, (chain,) = await chains(here, ONE_TIER, 1, 2_000.0)
-        await here.balance([chain.way], 1)
-        await here.pass_time(1_000.0)
-        relay = here.services[0].relay
-        source.bad = BAD_ANSWERS[bad]
-        await here.pass_time(1_400.0)
-        assert relay.log.version == 1 and relay.staleness.fresh(here.clock.now())
-        await here.pass_time(5_000.0)
-        assert relay.log.version == 1 and not relay.staleness.fresh(here.clock.now())
-        assert here.state is ServerState.LIVE, "balancers keep their last list"
-        said = [record.getMessage() for record in caplog.records]
-        assert said.count("stale") == 1 and said.count("discovery failed") <= 4, "each side in 10 s"
-        assert said.count("upstream suspect") <= 1 and source.calls <= 80
-        source.bad = b""
+    async with running_fleet() as fleet:
+        source, (chain,) = await start_chains(fleet, ONE_TIER, 1, 2_000.0)
+        await fleet.start_balancer([chain.link], 1)
+        await fleet.pass_time(1_000.0)
+        relay = fleet.services[0].relay
+        source.bad_answer = BAD_ANSWERS[bad]
+        await fleet.pass_time(1_400.0)
+        assert relay.change_log.version == 1 and relay.staleness.is_fresh(fleet.clock.now())
+        await fleet.pass_time(5_000.0)
+        assert relay.change_log.version == 1 and not relay.staleness.is_fresh(fleet.clock.now())
+        assert fleet.state is ServerState.LIVE, "balancers keep their last list"
+        messages = [record.getMessage() for record in caplog.records]
+        assert messages.count("stale") == 1 and messages.count("discovery failed") <= 4, "logged too often"
+        assert messages.count("upstream suspect") <= 1 and source.calls <= 80
+        source.bad_answer = b""
         source.drain()
-        assert await here.pass_time(TOLD, here.knows) < TOLD
+        assert await fleet.pass_time(MAX_DELAY_MS, fleet.knows_of_drain) < MAX_DELAY_MS
