--- a/puffinford/core/__init__.py
+++ b/puffinford/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core: a clock, the values the two sides speak in, and the exchange where they meet. No wire."""
+"""The protocol-independent core: request handling, attempts, forwarding and the clock."""
--- a/puffinford/core/admission.py
+++ b/puffinford/core/admission.py
@@ -1,4 +1,4 @@
-"""Admission: the last look before an attempt."""
+"""Final checks before an attempt is sent to a server."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Admission:
-    """Whether an attempt may still begin."""
+    """Checks whether an attempt may still be sent."""
 
     def __init__(self, clock: Clock, servers: ServerTable, completions: Completions) -> None:
         self._clock = clock
@@ -19,16 +19,18 @@
         self._completions = completions
 
     async def admit(self, request: ClientRequest, attempt: ServerAttempt, until: float) -> None:
-        """The last look before an attempt, and again before its first byte; raises AttemptEnded.
+        """Check an attempt before it connects, and again before its first byte; raises AttemptEnded.
 
-        Guards the server against a client that has gone, though its end may lie unread; against what the list
-        or the operators have told since the choice, while the attempt waited or connected; and against a
-        repeat later than the window in which the servers discard it (`until`).
+        Rejects the attempt when the client has closed, even if that is still unread; when the server was
+        drained, removed or cordoned since it was chosen; and after `until`, when servers no longer discard
+        repeats of the request.
         """
         if await request.client.has_left() or request.completion is not None:
             self._completions.abandon(request, Completion(broken=True))
             raise AttemptEnded(it.Result.CANCELLED)
-        if request.opening.at is None and not self._servers.may_begin(attempt.entry.server.id):
+        if request.opening.resume_server is None and not self._servers.may_start_attempt(
+            attempt.entry.server.id
+        ):
             raise AttemptEnded(it.Result.NOT_SENT)
         if self._clock.now() >= until:
             raise AttemptEnded(it.Result.NOT_SENT)
--- a/puffinford/core/answers.py
+++ b/puffinford/core/answers.py
@@ -1,4 +1,4 @@
-"""The final answer of a request, and the end of both its legs."""
+"""Final answers to requests, and the closing of their connections."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from puffinford.core.requests import ClientRequest, Completion
 from puffinford.core.values import Busy, ClientConnection, ConnectionBroken, Failed, Opening
 
-MOVE_MOST = 800.0  # a client that takes no MOVE in this time is cut off
+MOVE_TIMEOUT_MS = 800.0  # then a client that does not read MOVE is reset
 
 
 class Answers:
-    """Gives final answers, and ends the connections of requests that have come to their ending."""
+    """Sends final answers and closes the connections of completed requests."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
@@ -26,7 +26,7 @@
         opening: Opening,
         request: ClientRequest | None = None,
     ) -> None:
-        """Give the final answer, log it with its cause, and count it where it is one of a known class."""
+        """Send and log the final answer, and count it for requests of a known class."""
         busy = isinstance(answer, Busy)
         self._log(answer, opening, request)
         try:
@@ -39,27 +39,31 @@
         await client.end()
 
     def _log(self, answer: Busy | Failed, opening: Opening, request: ClientRequest | None) -> None:
-        told: dict[str, object] = {"request": opening.request_id, "key": opening.key, "cls": opening.cls}
-        told["tenant"] = opening.tenant or ""
-        told["answer"], told["why"] = (
+        fields: dict[str, object] = {"request": opening.request_id, "key": opening.key, "cls": opening.cls}
+        fields["tenant"] = opening.tenant or ""
+        fields["answer"], fields["why"] = (
             ("busy", answer.reason) if isinstance(answer, Busy) else ("failed", answer.reason)
         )
         if request is not None:
-            told["attempts"] = request.attempts
-            told["waited_ms"] = round(self._context.clock.now() - request.deadline + opening.wait)
-        log.info("answer", extra=told)
+            fields["attempts"] = request.attempt_count
+            fields["waited_ms"] = round(self._context.clock.now() - request.deadline + opening.wait)
+        log.info("answer", extra=fields)
 
-    async def end_legs(self, request: ClientRequest) -> None:
-        """End both sides' connections as the request's ending says."""
+    async def close_connections(self, request: ClientRequest) -> None:
+        """Close the client and server connections according to the request's completion."""
         completion = request.completion
         assert completion is not None
-        server = request.attempt.connection if request.attempt is not None else None
+        server_connection = request.attempt.connection if request.attempt is not None else None
         async with anyio.create_task_group() as tasks:
-            if server is not None:
-                tasks.start_soon(server.abort if completion.broken or completion.answer else server.end)
-            await self._end_client(request, completion)
+            if server_connection is not None:
+                tasks.start_soon(
+                    server_connection.abort
+                    if completion.broken or completion.answer
+                    else server_connection.end
+                )
+            await self._close_client(request, completion)
 
-    async def _end_client(self, request: ClientRequest, completion: Completion) -> None:
+    async def _close_client(self, request: ClientRequest, completion: Completion) -> None:
         client = request.client
         if completion.answer is not None:
             observer = self._context.observer
@@ -68,14 +72,14 @@
                 observer.on_refused(request.key, request.opening.cls, failed=failed)
             await self.refuse(client, completion.answer, request.opening, request)
             return
-        if completion.broken or (completion.move and not await self._move(client)):
+        if completion.broken or (completion.move and not await self._send_move(client)):
             await client.abort()
             return
         await client.end()
 
-    async def _move(self, client: ClientConnection) -> bool:
-        """Send the client away; whether it took the word in time."""
-        with self._context.clock.limit(MOVE_MOST) as scope:
+    async def _send_move(self, client: ClientConnection) -> bool:
+        """Send MOVE; return whether the client read it within MOVE_TIMEOUT_MS."""
+        with self._context.clock.limit(MOVE_TIMEOUT_MS) as scope:
             try:
                 await client.move()
             except ConnectionBroken:
--- a/puffinford/core/clock.py
+++ b/puffinford/core/clock.py
@@ -1,4 +1,4 @@
-"""The one clock: milliseconds as a float, anchored at Unix time when it is made, never going back."""
+"""The monotonic clock of a process, in milliseconds, anchored at Unix time when it is created."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Clock:
-    """The system's time. Tests use `SettableClock` in its place."""
+    """The system's monotonic clock. Tests use `SettableClock`."""
 
     def __init__(self) -> None:
         self._offset = time.time() * 1000.0 - time.monotonic() * 1000.0
@@ -21,23 +21,23 @@
 
     @property
     def anchor(self) -> float:
-        """This clock less the system's monotonic one, in ms; it never changes."""
+        """The constant difference between this clock and the system's monotonic clock, in ms."""
         return self._offset
 
     def wall_ahead(self) -> float:
-        """Unix time now less this clock, in ms: how far the wall clock was stepped since it was made."""
+        """Unix time minus this clock, in ms: how far the wall clock was stepped since its creation."""
         return time.time() * 1000.0 - self.now()
 
     async def sleep(self, ms: float) -> None:
         await anyio.sleep(max(0.0, ms) / 1000.0)
 
     def limit(self, ms: float) -> AbstractContextManager[anyio.CancelScope]:
-        """A scope that is cancelled after so long; it does not raise."""
+        """Return a scope that is cancelled after `ms`, without raising TimeoutError."""
         return anyio.move_on_after(max(0.0, ms) / 1000.0)
 
 
 class SettableClock(Clock):
-    """A clock that stands still until a test advances it."""
+    """A clock that changes only when a test advances it."""
 
     def __init__(self, start: float = 1_000_000.0) -> None:
         self._now = start
@@ -56,7 +56,7 @@
 
     @property
     def waiting(self) -> int:
-        """Sleeps and limits that have not come due."""
+        """Number of pending sleeps and limits."""
         return len(self._heap)
 
     def advance(self, ms: float) -> None:
@@ -77,7 +77,7 @@
     def limit(self, ms: float) -> Iterator[anyio.CancelScope]:
         with anyio.CancelScope() as scope:
             within = True
-            # Guards against cancelling what has ended long before its limit.
+            # Prevents cancelling a scope that was left before its limit.
             self._at(ms, lambda: scope.cancel() if within else None)
             try:
                 yield scope
--- a/puffinford/core/completions.py
+++ b/puffinford/core/completions.py
@@ -1,4 +1,4 @@
-"""How a request comes to its one ending, and what the decision module and the watcher hear of it."""
+"""Completion of requests, reported to the decision module and the observer."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class Completions:
-    """Sets the ending of a request, once: whatever comes later finds it set and changes nothing."""
+    """Completes each request once; later completions have no effect."""
 
     def __init__(self, context: Context, reports: LoadReports) -> None:
         self._context = context
         self._reports = reports
 
     def abandon(self, request: ClientRequest, completion: Completion) -> None:
-        """End a request that does not stand yet, whatever the module has in hand for it."""
+        """Complete a request that is not yet established, and cancel its attempt."""
         if request.completion is None:
             request.completion = completion
             request.done.set()
@@ -26,35 +26,35 @@
             if request.attempt is not None:
                 request.attempt.scope.cancel()
 
-    def finish(self, ident: str, completion: Completion) -> None:
-        """End a request of which the module has nothing in hand any more."""
-        request = self._context.requests.get(ident)
+    def finish(self, request_id: str, completion: Completion) -> None:
+        """Complete a request that the decision module has already released."""
+        request = self._context.requests.get(request_id)
         if request is not None and request.completion is None:
             request.completion = completion
             request.done.set()
 
     def close(
-        self, request: ClientRequest, completion: Completion, result: it.Result, text: str = ""
+        self, request: ClientRequest, completion: Completion, result: it.Result, report_text: str = ""
     ) -> None:
-        """End a standing connection, and tell the module so, with the load report that its end brought."""
+        """Complete an established request, and report its result and the server's load report."""
         attempt = request.attempt
         if request.completion is not None or attempt is None:
             return
         request.completion = completion
         request.done.set()
-        latency = self._context.clock.now() - attempt.started
+        latency = self._context.clock.now() - attempt.started_at
         server = attempt.entry.server.id
         observer = self._context.observer
         if observer is not None:
             cut = completion.move or result is it.Result.RESET
             observer.on_closed(request.key, request.opening.cls, server, latency, cut=cut)
-        report = self._reports.of_answer(server, text)
+        report = self._reports.of_answer(server, report_text)
         self._context.dispatch(it.Outcome(request.id, attempt.number, server, result, latency, True, report))
-        told = {"request": request.id, "server": server, "result": result.value, "moved": completion.move}
-        log.info("end", extra={**told, "established_ms": round(latency)})
+        fields = {"request": request.id, "server": server, "result": result.value, "moved": completion.move}
+        log.info("end", extra={**fields, "established_ms": round(latency)})
 
-    def fault(self, request: ClientRequest) -> None:
-        """End a request in which a side failed in a way that it may not."""
+    def handle_error(self, request: ClientRequest) -> None:
+        """Complete a request whose handling raised an unexpected exception."""
         if request.completion is None:
             request.completion = Completion(broken=True) if request.up.is_set() else Completion(Failed())
             self._context.dispatch(it.ClientLeft(request.id))
--- a/puffinford/core/context.py
+++ b/puffinford/core/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one exchange share."""
+"""Shared state of the parts of one exchange."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 
 @dataclass(slots=True)
 class Context:
-    """The clock, the settings in force, the request table and the way to the decision module.
+    """Clock, settings, requests and counters of one exchange.
 
-    `settings` and `observer` change while the process runs: a part reads them here and keeps neither.
+    `settings` and `observer` may be replaced at any time, so they must not be cached.
     """
 
     clock: Clock
     settings: it.Settings
     rng: random.Random
-    dispatch: Callable[[it.Event], None]  # tells the decision module, and has its actions carried out
+    dispatch: Callable[[it.Event], None]  # passes an event to the decision module and carries out its actions
     counters: RequestCounters = field(default_factory=RequestCounters)
     requests: RequestTable = field(default_factory=RequestTable)
     observer: RequestObserver | None = None
-    classes: frozenset[str] = frozenset()  # the names of those in `settings`
+    classes: frozenset[str] = frozenset()  # names of the request classes in `settings`
 
     @property
     def shutdown_refusal(self) -> Busy:
-        """The refusal of a process that is about to end."""
+        """The answer to requests that arrive after the drain."""
         return Busy(self.settings.max_retry_after, "leaving")
 
     def configure(self, settings: it.Settings) -> None:
-        """Put settings in force."""
+        """Replace the settings."""
         self.settings = settings
         self.classes = frozenset(cls.name for cls in settings.classes)
-        self.counters.know(cls.name for cls in settings.classes)
+        self.counters.register(cls.name for cls in settings.classes)
--- a/puffinford/core/counters.py
+++ b/puffinford/core/counters.py
@@ -1,4 +1,4 @@
-"""The one register of what requests came to, by class, from the start of the process."""
+"""Counters of requests by class, from the start of the process."""
 
 from __future__ import annotations
 
@@ -7,20 +7,22 @@
 
 
 class Count(Enum):
-    SERVED = "served"  # connections brought up
-    REFUSED = "refused"  # told to retry later
+    """What is counted for each request class."""
+
+    SERVED = "served"  # connections established
+    REFUSED = "refused"  # refused with a retry time
     FAILED = "failed"  # given any other answer
-    ATTEMPTS = "attempts"  # openings written whole to servers
+    ATTEMPTS = "attempts"  # openings written completely to servers
 
 
 class RequestCounters:
-    """Written by the exchange alone, once what is counted has been written."""
+    """Counters for each request class. Only the exchange updates them, after the write that is counted."""
 
     def __init__(self) -> None:
         self._counts: dict[str, dict[Count, int]] = {}
 
-    def know(self, classes: Iterable[str]) -> None:
-        """Classes that are figures from now on, at 0; those known before keep theirs."""
+    def register(self, classes: Iterable[str]) -> None:
+        """Add classes with counters at 0. Known classes keep their counters."""
         for cls in classes:
             self._counts.setdefault(cls, dict.fromkeys(Count, 0))
 
--- a/puffinford/core/delay_watch.py
+++ b/puffinford/core/delay_watch.py
@@ -1,4 +1,4 @@
-"""Slow messages: what servers note and connections measure of them, as the decision module hears it."""
+"""Reports of slow messages to the decision module, from servers' notes and own measurements."""
 
 from __future__ import annotations
 
@@ -11,56 +11,55 @@
 
 
 class DelayWatch:
-    """Gathers delays of messages, a server at a time."""
+    """Collects message delays by server, and reports slow servers."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
         self.configure()
 
     def configure(self) -> None:
-        """Begin anew by the settings in force."""
+        """Discard all measurements and use the current settings."""
         aims = (cls.message_aim for cls in self._context.settings.classes if cls.message_aim > 0)
-        shortest = min(aims, default=0.0)
-        self._meter = DelayMeter(shortest)
-        self._notes = NoteClassifier(shortest, self._context.requests.is_established)
+        shortest_aim = min(aims, default=0.0)
+        self._meter = DelayMeter(shortest_aim)
+        self._notes = NoteClassifier(shortest_aim, self._context.requests.is_established)
 
-    def answered(self, attempt: ServerAttempt) -> None:
-        """A message came from the server, and answers the oldest line that waits."""
+    def record_answer(self, attempt: ServerAttempt) -> None:
+        """Record a message from the server as the answer to the oldest unanswered line."""
         delay = attempt.unanswered.answered(self._context.clock.now())
         if delay is not None:
             self._meter.sample(attempt.entry.server.id, delay)
 
     def note(self, request_id: str, server: str, value: float) -> None:
-        """A server's note. The line is one for both kinds; the settings say which a server sends.
+        """Handle a server's note, which is a load or a delay in ms.
 
-        Guards against taking milliseconds of delay for a load: where only delays are told, a note
-        comes once a second on one connection while messages at its server are slow.
+        The settings define which kinds servers send. Where they send both, the classifier decides.
         """
         settings = self._context.settings
         delay: bool | None = settings.tells_delay
         if delay and settings.tells_load:
             delay = self._notes.take(request_id, server, value, self._context.clock.now())
         if delay:
-            self._tell_delay(request_id, server, value, "note")
+            self._report_delay(request_id, server, value, "note")
         elif delay is False and settings.tells_load:
             self._context.dispatch(it.LoadUpdate(request_id, server, value))
 
-    def round(self) -> None:
-        """Once a second: the notes of slow messages that the sockets themselves give."""
+    def report_delays(self) -> None:
+        """Report pending load notes, and the message delays measured since the last call."""
         now = self._context.clock.now()
         for note in self._notes.due(now):
             self._context.dispatch(it.LoadUpdate(note.request_id, note.server, note.value))
         waiting = []
-        carriers: dict[str, str] = {}
+        request_by_server: dict[str, str] = {}
         for request, attempt in self._context.requests.established():
-            ident = attempt.entry.server.id
-            carriers.setdefault(ident, request.id)
-            waiting.append((ident, attempt.unanswered.age(now)))
-        for ident, delay in self._meter.round(waiting):
-            if ident in carriers:
-                self._tell_delay(carriers[ident], ident, delay, "measure")
+            server_id = attempt.entry.server.id
+            request_by_server.setdefault(server_id, request.id)
+            waiting.append((server_id, attempt.unanswered.age(now)))
+        for server_id, delay in self._meter.finish_round(waiting):
+            if server_id in request_by_server:
+                self._report_delay(request_by_server[server_id], server_id, delay, "measure")
 
-    def _tell_delay(self, request_id: str, server: str, delay: float, source: str) -> None:
+    def _report_delay(self, request_id: str, server: str, delay: float, source: str) -> None:
         log.info("slow", extra={"server": server, "ms": round(delay, 1), "by": source})
         if self._context.observer is not None:
             self._context.observer.on_delay(server, delay)
--- a/puffinford/core/delays.py
+++ b/puffinford/core/delays.py
@@ -1,4 +1,4 @@
-"""How long servers take to answer a line, measured, for servers send no word of it."""
+"""Measured delays of servers' answers to lines."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class UnansweredLines:
-    """The lines of one connection that wait for an answer."""
+    """Lines of one connection that have not been answered. Times are in ms."""
 
     __slots__ = ("_heard", "_sent")
 
     def __init__(self) -> None:
-        # Guards against a server that answers fewer lines than it gets: only the latest can matter.
+        # Bounded for servers that do not answer every line.
         self._sent: deque[float] = deque(maxlen=64)
         self._heard = 0.0
 
@@ -21,58 +21,61 @@
         self._sent.append(now)
 
     def heard(self, now: float) -> None:
-        """Something came, if only a note."""
+        """Record any input from the server."""
         self._heard = now
 
     def answered(self, now: float) -> float | None:
-        """The delay of the oldest line, if one waits."""
+        """Remove the oldest line and return its delay; None if there is none."""
         self._heard = now
         return now - self._sent.popleft() if self._sent else None
 
     @property
     def last_heard(self) -> float:
-        """When anything came last; 0 where nothing has."""
+        """Time of the last input; 0 if there was none."""
         return self._heard
 
     def age(self, now: float) -> float:
-        """How long the oldest line has waited; 0 where none does."""
+        """How long the oldest line has been unanswered; 0 if there is none."""
         return now - self._sent[0] if self._sent else 0.0
 
     def silence(self, now: float) -> float:
-        """How long nothing has come although a line waits; 0 where none does."""
+        """How long there has been no input while a line is unanswered; 0 if there is none."""
         return now - max(self._sent[0], self._heard) if self._sent else 0.0
 
 
 class DelayMeter:
-    """Makes at most one note a server and round, as the simulator's note 2.
+    """Reports the median message delay of each slow server, at most once per round.
 
-    A note comes while messages take more than a third of the shortest aim, and once more when they
-    are back under. The middle sample counts, so that one pause or one busy moment here says nothing.
+    A server is reported while its median is above a third of `shortest_aim` (ms), and once more when it is
+    back below. The median ignores single outliers.
     """
 
     def __init__(self, shortest_aim: float) -> None:
-        self._from = shortest_aim / 3.0
+        self._threshold = shortest_aim / 3.0
         self._samples: dict[str, list[float]] = {}
-        self._slow: set[str] = set()
+        self._slow_servers: set[str] = set()
 
     def sample(self, server: str, delay: float) -> None:
         self._samples.setdefault(server, []).append(delay)
 
-    def round(self, waiting: Iterable[tuple[str, float]]) -> list[tuple[str, float]]:
-        """The notes due now. `waiting` gives the server and age of each unanswered line."""
+    def finish_round(self, waiting: Iterable[tuple[str, float]]) -> list[tuple[str, float]]:
+        """Start a new round; return servers to report with their delay in ms.
+
+        `waiting` holds the server and age in ms of each unanswered line.
+        """
         samples, self._samples = self._samples, {}
-        if self._from <= 0:
+        if self._threshold <= 0:
             return []
         for server, age in waiting:
-            if age > self._from:
+            if age > self._threshold:
                 samples.setdefault(server, []).append(age)
-        notes = []
+        reports = []
         for server, delays in samples.items():
             delay = median(delays)
-            if delay > self._from:
-                self._slow.add(server)
-                notes.append((server, delay))
-            elif server in self._slow:
-                self._slow.discard(server)
-                notes.append((server, delay))
-        return notes
+            if delay > self._threshold:
+                self._slow_servers.add(server)
+                reports.append((server, delay))
+            elif server in self._slow_servers:
+                self._slow_servers.discard(server)
+                reports.append((server, delay))
+        return reports
--- a/puffinford/core/dispatcher.py
+++ b/puffinford/core/dispatcher.py
@@ -1,4 +1,4 @@
-"""The one way to the decision module: events go in one batch after another, and actions come out."""
+"""Passes events to the decision module and carries out the actions it returns."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 from puffinford.core.logger import log
 
 
-class Decisions:
-    """Tells the module what happens, and has what it decides carried out."""
+class EventDispatcher:
+    """Serializes calls of the decision module: events raised by actions are handled in a later batch."""
 
     def __init__(self, balancer: Balancer, clock: Clock, carry_out: Callable[[it.Action], None]) -> None:
         self._balancer = balancer
         self._clock = clock
         self._carry_out = carry_out
-        self._inbox: list[it.Event] = []
-        self._telling = False
+        self._pending: list[it.Event] = []
+        self._dispatching = False
 
     def dispatch(self, event: it.Event) -> None:
-        """Tell the module, and carry out what it decides; what happens meanwhile waits its turn."""
-        self._inbox.append(event)
-        if self._telling:
+        """Handle an event now, or after the current batch if called while one is handled."""
+        self._pending.append(event)
+        if self._dispatching:
             return
-        self._telling = True
+        self._dispatching = True
         try:
-            while self._inbox:
-                batch, self._inbox = self._inbox, []
+            while self._pending:
+                batch, self._pending = self._pending, []
                 try:
                     actions = self._balancer.handle(self._clock.now(), batch)
                 except Exception:
-                    # Guards the standing connections against a fault in a decision: the request it was
-                    # about is answered by its own time limit.
+                    # Keeps established connections when a decision raises. The request concerned is answered
+                    # at its deadline.
                     log.exception("decision failed", extra={"events": repr(batch)[:300]})
                     continue
                 for action in actions:
                     self._carry_out(action)
         finally:
-            self._telling = False
+            self._dispatching = False
--- a/puffinford/core/drain.py
+++ b/puffinford/core/drain.py
@@ -1,4 +1,4 @@
-"""The drain: every standing connection is moved before the process ends."""
+"""Drain of a process: moves all established connections before it ends."""
 
 from __future__ import annotations
 
@@ -10,43 +10,45 @@
 from puffinford.core.requests import Completion
 from puffinford.core.values import Failed
 
-TURN_MOST = 100.0  # ms between two moves, for arrivals come to stand meanwhile
+MAX_MOVE_INTERVAL_MS = 100.0  # so that connections established during the drain are moved too
 
 
 class Drain:
-    """Moves connections one by one, then ends what is left."""
+    """Moves connections one by one, then completes the remaining requests."""
 
     def __init__(self, context: Context, balancer: Balancer, completions: Completions) -> None:
         self._context = context
         self._balancer = balancer
         self._completions = completions
-        self.leaving = False  # arrivals are turned away
-
-    async def run(self, settle: float, over: float) -> None:
-        """Wait `settle` ms, move all within `over` ms, then end the rest; their legs end on their own."""
-        await self._context.clock.sleep(settle)
-        await self._move_evenly(over)
-        self.leaving = True
-        self._end_rest()
+        self.refusing = False  # new requests are refused
+
+    async def run(self, settle_ms: float, duration_ms: float) -> None:
+        """Wait `settle_ms`, move connections within `duration_ms`, then complete the remaining requests."""
+        await self._context.clock.sleep(settle_ms)
+        await self._move_evenly(duration_ms)
+        self.refusing = True
+        self._complete_remaining()
         log.info("drained")
 
-    async def _move_evenly(self, over: float) -> None:
+    async def _move_evenly(self, duration_ms: float) -> None:
         clock = self._context.clock
-        end = clock.now() + over
+        deadline = clock.now() + duration_ms
         log.info("drain", extra={"connections": len(self._context.requests.established())})
-        while (left := end - clock.now()) > 0:
-            standing = self._context.requests.established()
-            if standing:
-                request, _ = self._context.rng.choice(standing)
+        while (remaining := deadline - clock.now()) > 0:
+            established = self._context.requests.established()
+            if established:
+                request, _ = self._context.rng.choice(established)
                 self._completions.close(request, Completion(move=True), it.Result.CANCELLED)
-            await clock.sleep(min(left, max(1.0, left / (len(standing) + 1)), TURN_MOST))
+            await clock.sleep(
+                min(remaining, max(1.0, remaining / (len(established) + 1)), MAX_MOVE_INTERVAL_MS)
+            )
 
-    def _end_rest(self) -> None:
+    def _complete_remaining(self) -> None:
         for request in list(self._context.requests.values()):
             if request.is_established:
                 self._completions.close(request, Completion(move=True), it.Result.CANCELLED)
             elif self._balancer.may_refuse(request.id, request.attempt is not None and request.attempt.sent):
                 self._completions.abandon(request, Completion(self._context.shutdown_refusal))
             else:
-                # Guards an effect against happening twice: a refusal says that trying again is harmless.
+                # Prevents a second execution: a refusal would tell the client that a retry is safe.
                 self._completions.abandon(request, Completion(Failed("leaving")))
--- a/puffinford/core/exchange.py
+++ b/puffinford/core/exchange.py
@@ -1,8 +1,7 @@
-"""The exchange: the only place where client side and server side meet.
+"""The exchange connects clients' requests to servers, independent of the protocol.
 
-It takes each request, tells the decision module what happens, and has what the module decides carried out by
-its parts, each in a module of its own. A request gets one final answer, and never has two attempts out.
-Neither bytes nor fronts are known here.
+It reports events to the decision module and carries out the actions that the module returns. Each request
+gets exactly one final answer, and has at most one attempt in progress.
 """
 
 from __future__ import annotations
@@ -17,21 +16,21 @@
 from puffinford.balance import Balancer
 from puffinford.core.admission import Admission
 from puffinford.core.answers import Answers
-from puffinford.core.attempts import Attempts, request_of
+from puffinford.core.attempts import Attempts, to_decision_request
 from puffinford.core.clock import Clock
 from puffinford.core.completions import Completions
 from puffinford.core.context import Context
 from puffinford.core.delay_watch import DelayWatch
-from puffinford.core.dispatcher import Decisions
+from puffinford.core.dispatcher import EventDispatcher
 from puffinford.core.drain import Drain
-from puffinford.core.forwarding import Relay
+from puffinford.core.forwarding import MessageForwarder
 from puffinford.core.load_reports import LoadReports
 from puffinford.core.logger import log
 from puffinford.core.probes import Probes
 from puffinford.core.requests import ClientRequest, Completion
 from puffinford.core.servers import ServerTable
-from puffinford.core.silent_servers import SilenceWatch
-from puffinford.core.stall import WATCH, StallWatch
+from puffinford.core.silent_servers import SilentServerWatch
+from puffinford.core.stall import WATCH_INTERVAL_MS, StallWatch
 from puffinford.core.values import (
     Busy,
     ClientConnection,
@@ -44,12 +43,12 @@
     ServerListSource,
 )
 
-ROUND = 1_000.0  # notes of slow messages come once a second
-GUARD_AFTER = 25.0  # after a deadline and its slack; on sockets the rules allow 50 ms more
+DELAY_REPORT_INTERVAL_MS = 1_000.0
+ANSWER_GUARD_MARGIN_MS = 25.0  # after the deadline and the settings' `answer_slack`
 
 
 class Exchange:
-    """One balancer's requests, server list and decision module, and the parts that work on them."""
+    """One balancer's requests, server list and decision module."""
 
     def __init__(
         self,
@@ -60,8 +59,8 @@
     ) -> None:
         self._clock = clock
         self._balancer = Balancer(settings, seed)
-        self._decisions = Decisions(self._balancer, clock, self._carry_out)
-        context = Context(clock, settings, random.Random(seed ^ 0x5EED), self._decisions.dispatch)
+        self._dispatcher = EventDispatcher(self._balancer, clock, self._carry_out)
+        context = Context(clock, settings, random.Random(seed ^ 0x5EED), self._dispatcher.dispatch)
         context.configure(settings)
         self._context = context
         self.counters = context.counters
@@ -72,8 +71,8 @@
         self._completions = Completions(context, self._reports)
         self._answers = Answers(context)
         self._delays = DelayWatch(context)
-        self._silence = SilenceWatch(context, self._completions)
-        self._relay = Relay(context, self._completions, self._delays)
+        self._silent_servers = SilentServerWatch(context, self._completions)
+        self._forwarder = MessageForwarder(context, self._completions, self._delays)
         self._attempts = Attempts(
             context,
             connectors,
@@ -81,7 +80,7 @@
             self._stall,
             Admission(clock, self._servers, self._completions),
             self._completions,
-            self._relay,
+            self._forwarder,
             self._reports,
         )
         self._probes = Probes(context, connectors, self._servers, self._reports)
@@ -90,14 +89,14 @@
         self._tasks: anyio.abc.TaskGroup
 
     async def run(self, source: ServerListSource, restored: RestoredState | None = None) -> None:
-        """Serve until cancelled. Requests may come once this has started.
+        """Run until cancelled. Requests may be served once this has started.
 
-        `restored` is what there is to go by until the source has spoken.
+        `restored` is used until `source` has answered.
         """
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             self._source = source
-            self._stall.watch(source)
+            self._stall.set_source(source)
             if self._servers.cordoned:
                 self._dispatch(it.Cordoned(self._servers.cordoned))
             if restored is None:
@@ -108,22 +107,22 @@
                     it.UnverifiedServers(restored.unverified, restored.max_attempts, restored.attempt_timeout)
                 )
                 self.learn(restored.health)
-            await self._watch()
+            await self._watch_periodically()
 
-    async def _watch(self) -> None:
-        """What is looked at by the clock, whatever comes."""
-        due = self._clock.now()
+    async def _watch_periodically(self) -> None:
+        """Detect stalls, silent servers and slow messages at fixed intervals."""
+        next_report_at = self._clock.now()
         while True:
-            self._stall.turn()
-            await self._clock.sleep(WATCH)
-            self._stall.in_doubt()
-            self._silence.move_silent()
-            if self._clock.now() >= due:
-                due = self._clock.now() + ROUND - WATCH / 2.0
-                self._delays.round()
+            self._stall.start_interval()
+            await self._clock.sleep(WATCH_INTERVAL_MS)
+            self._stall.is_list_suspect()
+            self._silent_servers.move_connections()
+            if self._clock.now() >= next_report_at:
+                next_report_at = self._clock.now() + DELAY_REPORT_INTERVAL_MS - WATCH_INTERVAL_MS / 2.0
+                self._delays.report_delays()
 
     def configure(self, settings: it.Settings) -> None:
-        """Go on under other settings; requests and all that is known of the servers stay."""
+        """Apply new settings. Requests and the state of servers are kept."""
         if settings != self._context.settings:
             self._context.configure(settings)
             self._delays.configure()
@@ -131,7 +130,7 @@
 
     @property
     def observer(self) -> RequestObserver | None:
-        """Who hears what becomes of requests."""
+        """Receives callbacks on the outcome of requests."""
         return self._context.observer
 
     @observer.setter
@@ -140,21 +139,21 @@
 
     @property
     def has_server_list(self) -> bool:
-        """Whether there is a list to go by: from its source, or the known one when that says nothing."""
+        """Whether a server list is in use: from its source or, if that does not answer, a restored one."""
         return self._servers.has_server_list
 
     @property
     def serving(self) -> bool:
-        """Whether an arrival would be served."""
-        return not self._drain.leaving
+        """Whether new requests are accepted."""
+        return not self._drain.refusing
 
     @property
     def shutdown_refusal(self) -> Busy:
-        """The refusal of a process that is about to end."""
+        """The answer to requests that arrive after the drain."""
         return self._context.shutdown_refusal
 
     def gauges(self) -> dict[str, int]:
-        """What stands now; what is left out is the module's word."""
+        """Current numbers of requests, of servers, and of servers excluded from new connections."""
         excluded = self._balancer.listed_servers.excluded(self._clock.now())
         return {
             "in_flight": len(self._requests),
@@ -163,69 +162,72 @@
         }
 
     def health(self) -> list[it.Health]:
-        """What the module knows of the servers besides the list."""
+        """The servers' health as observed by this balancer."""
         return self._balancer.listed_servers.health(self._clock.now())
 
     def learn(self, health: list[it.Health]) -> None:
-        """Tell the module what another process of this balancer knew."""
+        """Pass on health observed by another process of this balancer."""
         if health:
             self._dispatch(it.LearnedHealth(health))
 
-    # What stands, for those who plan for it
+    # Queries and moves for the rebalancer
 
     def survey(self) -> list[it.ServerSnapshot]:
-        """Every listed server as the module sees it."""
+        """All listed servers with their load and capacity."""
         return self._balancer.survey(self._clock.now())
 
-    def established_connections(self, server: str, most: int) -> list[tuple[it.EstablishedConnection, bool]]:
-        """Some connections that stand at a server, each with whether all its lines are answered."""
+    def established_connections(self, server: str, limit: int) -> list[tuple[it.EstablishedConnection, bool]]:
+        """Up to `limit` established connections of a server, each with whether all its lines are answered."""
         now = self._clock.now()
-        told = []
-        for flow in self._balancer.listed_servers.sample_established(server, most):
+        connections = []
+        for flow in self._balancer.listed_servers.sample_established(server, limit):
             request = self._requests.get(flow.id)
             if request is not None and request.is_established and request.attempt is not None:
-                told.append((flow, request.attempt.unanswered.age(now) == 0.0))
-        return told
+                connections.append((flow, request.attempt.unanswered.age(now) == 0.0))
+        return connections
 
-    def best_server(self, ident: str) -> str | None:
-        """Where the module would place a standing connection now."""
-        return self._balancer.best_server(ident, self._clock.now())
+    def best_server(self, request_id: str) -> str | None:
+        """The server that would be chosen now for an established connection."""
+        return self._balancer.best_server(request_id, self._clock.now())
 
-    def relocate(self, ident: str, server: str, hold: float) -> bool:
-        """Move a connection, with a place kept for so many ms; tells whether it no longer stands."""
-        self._dispatch(it.Relocate(ident, server, hold))
-        request = self._requests.get(ident)
+    def relocate(self, request_id: str, server: str, hold_ms: float) -> bool:
+        """Move a connection and reserve a slot at `server` for `hold_ms`.
+
+        Return whether the connection has ended or is being moved.
+        """
+        self._dispatch(it.Relocate(request_id, server, hold_ms))
+        request = self._requests.get(request_id)
         return request is None or request.completion is not None
 
     def prefer(self, servers: frozenset[str]) -> None:
-        """Clients that come back are sent to these servers first, until the next call."""
+        """Prefer these servers for returning clients, until the next call."""
         self._dispatch(it.PreferServers(servers))
 
     # The server list
 
     def cordon(self, servers: frozenset[str]) -> None:
-        """These servers are out, and no others, whatever the server list says."""
+        """Set the servers that get no new connections, regardless of the server list."""
         self._servers.cordoned = servers
-        if self._source is not None:  # else the module is told first of all
+        if self._source is not None:  # else `run` dispatches it
             self._dispatch(it.Cordoned(servers))
 
-    def is_known_id(self, ident: str) -> bool:
-        """Whether anybody has that id. One that is restarting may be off the list for now."""
-        return self._servers.is_known_id(ident)
+    def is_known_id(self, server_id: str) -> bool:
+        """Whether a server with that id is or was listed, or is cordoned."""
+        return self._servers.is_known_id(server_id)
 
     def take_list(self, entries: ServerEntries | None) -> None:
-        """A list has come, or (None) a call for one has failed."""
+        """Apply a server list; None reports a failed discovery call."""
         self._servers.take_list(entries)
-        if entries is not None:  # the call of before the stop, which fails at the wake, is no news
-            self._stall.list_came()
+        if entries is not None:  # a call that fails after a stall brings no update
+            self._stall.list_received()
 
     def _apply_list(self, entries: ServerEntries, kind: it.ListKind) -> None:
-        self._servers.take(entries, kind)
+        self._servers.apply(entries, kind)
 
     # The decision module
 
     def _dispatch(self, event: it.Event) -> None:
-        self._decisions.dispatch(event)
+        self._dispatcher.dispatch(event)
 
     def _carry_out(self, action: it.Action) -> None:
         match action:
@@ -242,7 +244,7 @@
                 if request is not None and request.is_established:
                     self._completions.close(request, Completion(move=True), it.Result.CANCELLED)
             case it.SetTimer():
-                self._tasks.start_soon(self._timer, action)
+                self._tasks.start_soon(self._run_timer, action)
             case it.Subscribe():
                 if self._source is not None:
                     self._source.subscribe(action.on)
@@ -252,20 +254,20 @@
             case it.Probe():
                 self._tasks.start_soon(self._probes.probe, action.server)
             case it.CloseIdle():
-                pass  # each client has a connection of its own: none stands idle
+                pass  # connections to servers are not pooled
             case it.Log():
                 log.info("decision", extra={"text": action.message})
 
-    async def _timer(self, action: it.SetTimer) -> None:
+    async def _run_timer(self, action: it.SetTimer) -> None:
         await self._clock.sleep(action.delay)
         self._dispatch(it.Timer(action.token))
 
     # Requests
 
     async def serve(self, opening: Opening, client: ClientConnection, has_capacity: bool = True) -> None:
-        """Serve one request to its end. Exactly one final answer goes to the client.
+        """Serve one request to its end, with exactly one final answer.
 
-        Without `has_capacity` for its connections that is a refusal at once.
+        Without `has_capacity` (free descriptors for its connections) it is refused immediately.
         """
         refusal = self._refusal(opening, has_capacity)
         if refusal is not None:
@@ -276,20 +278,20 @@
         try:
             await self._serve(request)
         except Exception:
-            # Guards the one final answer, and the module's counts, against a fault in a side.
+            # Ensures a final answer, and that the module releases the request, after an unexpected error.
             log.exception("request failed", extra={"request": request.id})
-            self._completions.fault(request)
+            self._completions.handle_error(request)
         finally:
             del self._requests[request.id]
-        await self._answers.end_legs(request)
+        await self._answers.close_connections(request)
 
     def _refusal(self, opening: Opening, has_capacity: bool) -> Busy | Failed | None:
-        """The answer to an opening that is not taken at all."""
+        """Return the refusal of an opening that cannot be accepted, or None."""
         if opening.cls not in self._context.classes:
             return Failed("unknown class")
         if opening.request_id in self._requests:
             return Failed("id in use")
-        if self._drain.leaving:
+        if self._drain.refusing:
             return self.shutdown_refusal
         if not has_capacity:
             return Busy(self._context.settings.max_retry_after, "no room")
@@ -298,18 +300,18 @@
     async def _serve(self, request: ClientRequest) -> None:
         async with anyio.create_task_group() as tasks:
             request.tasks = tasks
-            tasks.start_soon(self._relay.listen, request)
-            if request.opening.at is not None:
-                tasks.start_soon(self._attempts.resume, request, request.opening.at)
+            tasks.start_soon(self._forwarder.forward_from_client, request)
+            if request.opening.resume_server is not None:
+                tasks.start_soon(self._attempts.resume, request, request.opening.resume_server)
             else:
-                tasks.start_soon(self._guard, request)
-                self._dispatch(request_of(request))
+                tasks.start_soon(self._guard_answer, request)
+                self._dispatch(to_decision_request(request))
             await request.done.wait()
             tasks.cancel_scope.cancel()
 
-    async def _guard(self, request: ClientRequest) -> None:
-        """Answer a request that the module has left without one, while its client still listens."""
-        slack = self._context.settings.answer_slack + GUARD_AFTER
+    async def _guard_answer(self, request: ClientRequest) -> None:
+        """Fail a request that the decision module has not answered by its deadline."""
+        slack = self._context.settings.answer_slack + ANSWER_GUARD_MARGIN_MS
         with self._clock.limit(request.deadline - self._clock.now() + slack):
             await request.up.wait()
             return
@@ -317,9 +319,9 @@
             log.error("unanswered", extra={"request": request.id})
             self._completions.abandon(request, Completion(Failed("out of time", timed_out=True)))
 
-    async def drain(self, settle: float, over: float) -> None:
-        """Move every standing connection, spread evenly over `over` ms after `settle`; then end the others.
+    async def drain(self, settle_ms: float, duration_ms: float) -> None:
+        """Wait `settle_ms`, move established connections evenly over `duration_ms`, then end the rest.
 
-        Arrivals are served until then, and refused from then on.
+        New requests are served until then, and refused afterwards.
         """
-        await self._drain.run(settle, over)
+        await self._drain.run(settle_ms, duration_ms)
--- a/puffinford/core/forwarding.py
+++ b/puffinford/core/forwarding.py
@@ -1,4 +1,4 @@
-"""The relaying of a standing connection, one direction a task."""
+"""Forwarding of messages between client and server, with one task for each direction."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
     Up,
 )
 
-HALF_CLOSED = 800.0  # ms in which a client that ended may still hear its server; the rules allow 1 s in all
+HALF_CLOSE_TIMEOUT_MS = 800.0  # how long the server may still send after the client has closed its side
 
 
-class Relay:
-    """Passes messages on between the two legs of a request until one of them ends."""
+class MessageForwarder:
+    """Forwards messages between the client and the server of a request until either side ends."""
 
     def __init__(self, context: Context, completions: Completions, delays: DelayWatch) -> None:
         self._context = context
@@ -32,15 +32,14 @@
 
     # From the client
 
-    async def listen(self, request: ClientRequest) -> None:
-        """Pass on what the client sends; before UP only its leaving matters."""
+    async def forward_from_client(self, request: ClientRequest) -> None:
+        """Forward messages from the client. Data before UP fails the request."""
         broken = False
         try:
             while True:
                 message = await request.client.receive()
                 if not request.up.is_set():
-                    # Guards against commands sent at once: a client waits for its answer, and
-                    # nothing but its opening may reach a server on its account.
+                    # Prevents data of a client that does not wait for UP from reaching a server.
                     self._completions.abandon(request, Completion(Failed("a line before UP")))
                     return
                 attempt = request.attempt
@@ -50,32 +49,32 @@
                 try:
                     await attempt.connection.send(message)
                 except ConnectionBroken:
-                    return  # what reads from the server says how it ended: it always comes to an end
+                    return  # the task that reads from the server reports how it ended
         except PeerClosed:
             pass
         except ConnectionBroken:
             broken = True
-        await self._client_ended(request, broken)
+        await self._client_closed(request, broken)
 
-    async def _client_ended(self, request: ClientRequest, broken: bool) -> None:
+    async def _client_closed(self, request: ClientRequest, broken: bool) -> None:
         if request.completion is not None:
             return
         if not request.is_established:
             self._completions.abandon(request, Completion(broken=True))
             return
         if not broken and request.attempt is not None and request.attempt.connection is not None:
-            request.left = True
+            request.client_closed = True
             try:
                 await request.attempt.connection.end_sending()
-                await self._context.clock.sleep(HALF_CLOSED)
+                await self._context.clock.sleep(HALF_CLOSE_TIMEOUT_MS)
             except ConnectionBroken:
                 pass
         self._completions.close(request, Completion(broken=broken), it.Result.CANCELLED)
 
     # From the server
 
-    async def run(self, request: ClientRequest, attempt: ServerAttempt, up: Up) -> None:
-        """Answer UP, then pass on what the server sends until it ends."""
+    async def forward_from_server(self, request: ClientRequest, attempt: ServerAttempt, up: Up) -> None:
+        """Answer UP, then forward messages from the server until it ends."""
         connection = attempt.connection
         assert connection is not None
         self._log_up(request, attempt)
@@ -87,7 +86,7 @@
                 self._client_lost(request)
                 return
             while True:
-                last = await self._next(request, attempt, connection)
+                last = await self._receive(request, attempt, connection)
                 if request.completion is not None:
                     return
                 try:
@@ -104,22 +103,22 @@
         )
 
     def _client_lost(self, request: ClientRequest) -> None:
-        """A client that takes nothing any more has gone.
+        """Close a request whose client no longer accepts data.
 
-        Guards against a listener that has returned, for the server was lost as well: nobody would end the
-        request. One that hears out a client which has ended its side ends it itself.
+        The task that reads from the client may have returned already because the server was lost too. After a
+        half-close it is still running, and closes the request itself.
         """
-        if not request.left:
+        if not request.client_closed:
             self._completions.close(request, Completion(broken=True), it.Result.CANCELLED)
 
     def _log_up(self, request: ClientRequest, attempt: ServerAttempt) -> None:
         opening = request.opening
         server = attempt.entry.server.id
-        told = {"request": request.id, "key": opening.key, "group": opening.group or "", "server": server}
-        log.info("up", extra={**told, "attempts": attempt.number + 1})
+        fields = {"request": request.id, "key": opening.key, "group": opening.group or "", "server": server}
+        log.info("up", extra={**fields, "attempts": attempt.number + 1})
 
     async def _answer_up(self, request: ClientRequest, attempt: ServerAttempt, up: Up) -> bool:
-        """Whether the client has taken its UP."""
+        """Send UP; return whether the client accepted it."""
         try:
             await request.client.answer(up)
         except ConnectionBroken:
@@ -127,11 +126,13 @@
         context = self._context
         context.counters.add(request.opening.cls, Count.SERVED)
         if context.observer is not None:
-            set_up = context.clock.now() - (request.deadline - request.opening.wait)
-            context.observer.on_established(request.key, request.opening.cls, attempt.entry.server.id, set_up)
+            setup_ms = context.clock.now() - (request.deadline - request.opening.wait)
+            context.observer.on_established(
+                request.key, request.opening.cls, attempt.entry.server.id, setup_ms
+            )
         return True
 
-    async def _next(
+    async def _receive(
         self, request: ClientRequest, attempt: ServerAttempt, connection: PeerConnection
     ) -> Message:
         message = await connection.receive()
@@ -139,15 +140,15 @@
             attempt.unanswered.heard(self._context.clock.now())
             self._delays.note(request.id, attempt.entry.server.id, message.note)
         else:
-            self._delays.answered(attempt)
+            self._delays.record_answer(attempt)
         return message
 
 
 def _result(request: ClientRequest, last: MessageKind, broken: bool) -> it.Result:
-    """What a server's end says of it, by the last message that it sent."""
+    """Map the end of a server's connection to a result, by the last message that it sent."""
     if last is MessageKind.BYE and not broken:
         return it.Result.OK
-    if (last is MessageKind.MOVE or request.left) and not broken:
-        # Guards a sound server against being taken for failed: it ended because its client had.
+    if (last is MessageKind.MOVE or request.client_closed) and not broken:
+        # Prevents counting a failure of the server when it closed because its client had.
         return it.Result.CANCELLED
     return it.Result.RESET
--- a/puffinford/core/load_reports.py
+++ b/puffinford/core/load_reports.py
@@ -1,4 +1,4 @@
-"""Which load reports are read, by the settings in force, and what becomes of those that cannot be used."""
+"""Reading of servers' load reports according to the settings."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 
 class LoadReports:
-    """Reads the servers' load reports."""
+    """Parses load reports, and logs invalid ones once per server."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
-        self._rejected: set[str] = set()  # the servers whose reports have been found wanting
+        self._rejected_servers: set[str] = set()
 
-    def read(self, ident: str, text: str) -> list[float] | None:
-        """A server's load report; None where there is none, or none that can be used."""
+    def read(self, server_id: str, text: str) -> list[float] | None:
+        """Parse a server's load report; return None if it is empty or invalid."""
         try:
             return parse_report(text, self._context.settings.report_fields)
         except BadReport as exc:
-            if ident not in self._rejected:  # once a server: guards the log against a line an answer
-                self._rejected.add(ident)
-                log.warning("report rejected", extra={"server": ident, "error": str(exc)})
+            if server_id not in self._rejected_servers:  # avoids a log line per answer
+                self._rejected_servers.add(server_id)
+                log.warning("report rejected", extra={"server": server_id, "error": str(exc)})
             return None
 
-    def of_answer(self, ident: str, text: str) -> list[float] | None:
-        """The report beside an answer, where the settings say that answers carry one."""
-        return self.read(ident, text) if self._context.settings.report_on_answer else None
+    def of_answer(self, server_id: str, text: str) -> list[float] | None:
+        """Parse the report in an answer, if the settings define one."""
+        return self.read(server_id, text) if self._context.settings.report_on_answer else None
--- a/puffinford/core/logger.py
+++ b/puffinford/core/logger.py
@@ -1,6 +1,6 @@
-"""The logger of the exchange and its parts.
+"""The logger shared by the exchange and its parts.
 
-Operators find their lines by `from=core.exchange`, whichever of the parts writes them.
+Operators find all their lines by `from=core.exchange`.
 """
 
 from __future__ import annotations
--- a/puffinford/core/note_classifier.py
+++ b/puffinford/core/note_classifier.py
@@ -1,9 +1,9 @@
-"""Which of two kinds a server's `LOAD X` line is, where the settings say that servers send both.
+"""Tells load notes from delay notes for servers that send both as `LOAD X`.
 
-The line is one for both: the load of the connection that it stands on, in microseconds of work a second,
-whenever that changes; and the milliseconds that a message takes at the server, once a second on one of each
-balancer's connections while that is over a third of the shortest aim, and once more when it is back under.
-No word of the line tells them apart, so the cadence has to.
+A load note gives the load of its connection in microseconds of work per second, whenever that changes.
+Delay notes give the time that a message takes at the server, in ms: once a second on one connection of each
+balancer while it is above a third of the shortest aim, and once more when it is back below. As both have the
+same form, they are recognized by their timing.
 """
 
 from __future__ import annotations
@@ -11,76 +11,92 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-EVERY = 1_000.0  # ms between notes of delay
-SPARE = 30.0  # ms by which a note may be early or late
-FIRST_MOST = 2_000.0  # ms; a delay grows from small ones, so the first of a row is not above this ...
-GROWTH = 5_000.0  # ... and the next is higher by no more, in ms: work piles up only so fast
+NOTE_INTERVAL_MS = 1_000.0  # between delay notes
+NOTE_JITTER_MS = 30.0  # a delay note may be early or late by this much
+MAX_FIRST_DELAY_MS = 2_000.0  # a larger first value is a load
+MAX_DELAY_GROWTH_MS = 5_000.0  # largest increase of the delay per interval
 
 
 @dataclass(slots=True)
 class Note:
-    """A line that may be either, and is held until the next second tells."""
+    """A note of either kind."""
 
     request_id: str
     server: str
     value: float
-    at: float
+    received_at: float
 
 
 class NoteClassifier:
-    """Tells notes of delay from notes of load by their row: one a second on one connection of a server.
+    """Recognizes delay notes as a series: one per second on one connection of a server.
 
-    A line that could begin a row is held back until the second is over: taken for a load it would say that
-    its connection does nothing, and taken for a delay it would pass over a sound server.
+    A note that may start a series is held until the next second is over. A delay taken for a load would make
+    its connection appear idle, and a load taken for a delay would exclude a healthy server.
     """
 
-    def __init__(self, shortest_aim: float, stands: Callable[[str], bool]) -> None:
-        """`shortest_aim` is of messages, in ms; `stands` tells whether a request's connection stands."""
-        self._from = shortest_aim / 3.0
-        self._stands = stands
-        self._rows: dict[str, Note] = {}  # the latest note of delay of each server
-        self._held: dict[str, list[Note]] = {}  # those that may begin a row, by server
+    def __init__(self, shortest_aim: float, is_established: Callable[[str], bool]) -> None:
+        """`shortest_aim` is for messages, in ms; `is_established` is called with a request's id."""
+        self._threshold = shortest_aim / 3.0
+        self._is_established = is_established
+        self._series: dict[str, Note] = {}  # latest delay note by server
+        self._pending: dict[str, list[Note]] = {}  # notes that may start a series, by server
 
     def take(self, request_id: str, server: str, value: float, now: float) -> bool | None:
-        """Whether a note is one of delay (True) or of load (False); None where it is held until `due`."""
+        """Return True for a delay, False for a load, None for a note that is held until `due`."""
         note = Note(request_id, server, value, now)
-        row = self._rows.get(server)
-        if row is not None and now <= row.at + 2.0 * EVERY + SPARE:
-            if self._follows(row, note, 2):
-                self._rows[server] = note
+        latest = self._series.get(server)
+        if latest is not None and now <= latest.received_at + 2.0 * NOTE_INTERVAL_MS + NOTE_JITTER_MS:
+            if self._follows(latest, note, 2):
+                self._series[server] = note
                 return True
-            if self._stands(row.request_id):
-                return False  # a server has one row at a balancer
-        held = self._held.get(server, [])
-        for earlier in held:
-            if self._from < value and self._follows(earlier, note, 1):
-                held.remove(earlier)
-                self._rows[server] = note
+            if self._is_established(latest.request_id):
+                return False  # a server has one series per balancer
+        pending = self._pending.get(server, [])
+        for earlier in pending:
+            if self._threshold < value and self._follows(earlier, note, 1):
+                pending.remove(earlier)
+                self._series[server] = note
                 return True
-        if self._from < value <= FIRST_MOST:
-            self._held.setdefault(server, []).append(note)
+        if self._threshold < value <= MAX_FIRST_DELAY_MS:
+            self._pending.setdefault(server, []).append(note)
             return None
         return False
 
     def due(self, now: float) -> list[Note]:
-        """The held notes that no second one followed: they were loads."""
+        """Remove and return the held notes that were loads, because no delay note followed them."""
         loads = []
-        for server in list(self._held):
-            kept = [note for note in self._held[server] if now <= note.at + EVERY + SPARE]
-            loads += [note for note in self._held[server] if now > note.at + EVERY + SPARE]
+        for server in list(self._pending):
+            kept = [
+                note
+                for note in self._pending[server]
+                if now <= note.received_at + NOTE_INTERVAL_MS + NOTE_JITTER_MS
+            ]
+            loads += [
+                note
+                for note in self._pending[server]
+                if now > note.received_at + NOTE_INTERVAL_MS + NOTE_JITTER_MS
+            ]
             if kept:
-                self._held[server] = kept
+                self._pending[server] = kept
             else:
-                del self._held[server]
-        for server in [s for s, row in self._rows.items() if now > row.at + 2.0 * EVERY + SPARE]:
-            del self._rows[server]
+                del self._pending[server]
+        for server in [
+            s
+            for s, latest in self._series.items()
+            if now > latest.received_at + 2.0 * NOTE_INTERVAL_MS + NOTE_JITTER_MS
+        ]:
+            del self._series[server]
         return loads
 
-    def _follows(self, earlier: Note, note: Note, most: int) -> bool:
-        """Whether a note comes whole seconds after an earlier one, at most so many, in its row."""
-        steps = round((note.at - earlier.at) / EVERY)
-        late = abs(note.at - earlier.at - steps * EVERY)
-        if not 1 <= steps <= most or late > SPARE or note.value > earlier.value + steps * GROWTH:
+    def _follows(self, earlier: Note, note: Note, max_steps: int) -> bool:
+        """Whether a note continues the series of an earlier one, at most `max_steps` intervals later."""
+        steps = round((note.received_at - earlier.received_at) / NOTE_INTERVAL_MS)
+        offset = abs(note.received_at - earlier.received_at - steps * NOTE_INTERVAL_MS)
+        if (
+            not 1 <= steps <= max_steps
+            or offset > NOTE_JITTER_MS
+            or note.value > earlier.value + steps * MAX_DELAY_GROWTH_MS
+        ):
             return False
-        # A row stays on its connection while that stands, which two loads that come by chance do not.
-        return note.request_id == earlier.request_id or not self._stands(earlier.request_id)
+        # A series stays on its connection while that is established.
+        return note.request_id == earlier.request_id or not self._is_established(earlier.request_id)
--- a/puffinford/core/probes.py
+++ b/puffinford/core/probes.py
@@ -1,4 +1,4 @@
-"""Probes: whether a server answers, and its load, without a client's request."""
+"""Probes of servers, without a client's request."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Probes:
-    """Makes the probes that the module decides on."""
+    """Makes the probes that the decision module requests."""
 
     def __init__(
         self,
@@ -22,20 +22,20 @@
         reports: LoadReports,
     ) -> None:
         self._context = context
-        self._sides = connectors
+        self._connectors = connectors
         self._servers = servers
         self._reports = reports
 
-    async def probe(self, ident: str) -> None:
-        """Probe one server, and tell the module what came of it."""
+    async def probe(self, server_id: str) -> None:
+        """Probe a server and report the result to the decision module."""
         clock = self._context.clock
-        entry = self._servers.get(ident)
-        started = clock.now()
+        entry = self._servers.get(server_id)
+        started_at = clock.now()
         result, report = it.Result.CONNECT_FAILED, None
         if entry is not None:
             settings = self._context.settings
             load = settings.report_on_probe
-            side = self._sides[entry.front]
-            result, text = await side.probe(entry, settings.connect_timeout, load)
-            report = self._reports.read(ident, text) if load else None
-        self._context.dispatch(it.ProbeResult(ident, result, clock.now() - started, report))
+            connector = self._connectors[entry.front]
+            result, text = await connector.probe(entry, settings.connect_timeout, load)
+            report = self._reports.read(server_id, text) if load else None
+        self._context.dispatch(it.ProbeResult(server_id, result, clock.now() - started_at, report))
--- a/puffinford/core/report_parser.py
+++ b/puffinford/core/report_parser.py
@@ -1,36 +1,36 @@
-"""Load reports as text: what a server says of itself beside an answer."""
+"""Parser for the text form of servers' load reports."""
 
 from __future__ import annotations
 
 from puffinford.core.values import parse_number
 
-VALUE_MOST = 1e9  # above this a field says nothing of a server
+MAX_VALUE = 1e9
 
 
 class BadReport(Exception):
-    """A report that cannot be used; the text names the field and its value."""
+    """Raised for an invalid report. The text names the field and its value."""
 
 
 def parse_report(text: str, fields: list[str]) -> list[float] | None:
-    """The values of `fields` in their order, out of `name=value,name=value`; None where there is no report.
+    """Return the values of `fields`, in their order, from `name=value,name=value`; None for an empty report.
 
-    Raises BadReport where a field is missing, stands twice or is no plain number of 0 or more. Fields that
-    the settings do not name are left out: a server may tell more than a balancer was told to read.
+    Raises BadReport if a field is missing, repeated or not a decimal number from 0 to MAX_VALUE. Other fields
+    are ignored.
     """
     if not text:
         return None
     found: dict[str, str] = {}
-    for piece in text.split(","):
-        name, _, value = piece.strip().partition("=")
+    for field_text in text.split(","):
+        name, _, value = field_text.strip().partition("=")
         if name in found:
-            raise BadReport(f"{name}: stands there twice")
+            raise BadReport(f"{name}: given twice")
         found[name] = value
-    row = []
+    numbers = []
     for name in fields:
         if name not in found:
             raise BadReport(f"{name}: missing")
-        figure = parse_number(found[name])
-        if figure is None or figure > VALUE_MOST:
-            raise BadReport(f"{name}: {found[name][:40]!r} is no number from 0 to {VALUE_MOST:.0f}")
-        row.append(figure)
-    return row
+        number = parse_number(found[name])
+        if number is None or number > MAX_VALUE:
+            raise BadReport(f"{name}: {found[name][:40]!r} is not a number from 0 to {MAX_VALUE:.0f}")
+        numbers.append(number)
+    return numbers
--- a/puffinford/core/requests.py
+++ b/puffinford/core/requests.py
@@ -1,4 +1,4 @@
-"""The request table: one entry for each request, from its opening to the end of its connection."""
+"""Requests in progress and their attempts, from the opening to the end of the connection."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class ServerAttempt:
-    """One attempt at a server."""
+    """One attempt to connect a request to a server."""
 
-    __slots__ = ("connection", "entry", "number", "scope", "sent", "started", "unanswered")
+    __slots__ = ("connection", "entry", "number", "scope", "sent", "started_at", "unanswered")
 
-    def __init__(self, entry: ServerEntry, number: int, started: float) -> None:
+    def __init__(self, entry: ServerEntry, number: int, started_at: float) -> None:
         self.entry = entry
         self.number = number
-        self.started = started
+        self.started_at = started_at
         self.scope = anyio.CancelScope()
-        self.connection: PeerConnection | None = None  # set once it stands
-        self.sent = False  # the last byte of the opening was written: it may run
+        self.connection: PeerConnection | None = None  # set when established
+        self.sent = False  # the opening has been written completely: the server may run it
         self.unanswered = UnansweredLines()
 
 
@@ -34,10 +34,10 @@
         self.deadline = deadline
         self.tasks: anyio.abc.TaskGroup
         self.attempt: ServerAttempt | None = None
-        self.attempts = 0
+        self.attempt_count = 0
         self.up = anyio.Event()
         self.done = anyio.Event()
-        self.left = False  # the client has ended its side
+        self.client_closed = False  # the client has closed its sending side
         self.completion: Completion | None = None
 
     @property
@@ -46,8 +46,8 @@
 
     @property
     def key(self) -> int:
-        """The opening's key as a number."""
-        return number_of(self.opening.key)
+        """The opening's key as an integer."""
+        return numeric_key(self.opening.key)
 
     @property
     def is_established(self) -> bool:
@@ -55,7 +55,9 @@
 
 
 class Completion:
-    """How a request ends: an answer, or what happens to both legs of a connection that stood."""
+    """How a request ends: with a final answer, or by closing both connections.
+
+    `broken`: the client's connection is reset. `move`: the client is asked to reconnect."""
 
     __slots__ = ("answer", "broken", "move")
 
@@ -68,24 +70,24 @@
 
 
 class RequestTable(dict[str, ClientRequest]):
-    """The requests that are served now, by id."""
+    """Requests in progress by id."""
 
     def established(self) -> list[tuple[ClientRequest, ServerAttempt]]:
-        """The requests whose connections stand, each with the attempt that does."""
+        """Requests with an established connection, each with its successful attempt."""
         return [
             (request, request.attempt)
             for request in self.values()
             if request.is_established and request.attempt is not None
         ]
 
-    def is_established(self, ident: str) -> bool:
-        """Whether there is such a request and its connection stands."""
-        request = self.get(ident)
+    def is_established(self, request_id: str) -> bool:
+        """Whether the request exists and its connection is established."""
+        request = self.get(request_id)
         return request is not None and request.is_established
 
 
-def number_of(text: str) -> int:
-    """A key or group as the module wants it: the same number at every balancer."""
+def numeric_key(text: str) -> int:
+    """Return a key or group as an integer that is the same at every balancer."""
     try:
         return int(text, 16)
     except ValueError:
--- a/puffinford/core/servers.py
+++ b/puffinford/core/servers.py
@@ -1,4 +1,4 @@
-"""The server list in force, and the operators' cordons over it."""
+"""The current server list and the operators' cordons."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from puffinford.core.logger import log
 from puffinford.core.values import ServerEntries, ServerEntry
 
-SOURCE_MOST = 3_000.0  # a new process waits this long for its list's source before the known list does
-NAMED_MOST = 64  # machines of a list that the log names; thousands would hold up a start
+SOURCE_TIMEOUT_MS = 3_000.0  # then a new process uses its restored list
+MAX_LOGGED_ENTRIES = 64  # logging thousands of entries would delay a start
 
 
 class ServerTable:
-    """The servers that the list names now, by id. It tells the decision module of each list."""
+    """The listed servers by id. Each list is reported to the decision module."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
-        self._started = context.clock.now()
+        self._started_at = context.clock.now()
         self._entries: dict[str, ServerEntry] = {}
-        self._named: set[str] = set()  # the servers that a list has named, gone or not
+        self._known_ids: set[str] = set()  # all servers listed so far
         self.cordoned: frozenset[str] = frozenset()
-        self.source_answered = False  # the list's source has answered or failed
+        self.source_answered = False  # or failed while a restored list is in use
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -31,42 +31,42 @@
     def ids(self) -> Set[str]:
         return self._entries.keys()
 
-    def get(self, ident: str) -> ServerEntry | None:
-        return self._entries.get(ident)
+    def get(self, server_id: str) -> ServerEntry | None:
+        return self._entries.get(server_id)
 
     @property
     def has_server_list(self) -> bool:
-        """Whether there is a list to go by: from its source, or the known one when that says nothing.
+        """Whether a list is in use: from its source or, after SOURCE_TIMEOUT_MS, a restored one.
 
-        Guards a change of versions against a source that is down: the old version has no better list.
+        The timeout allows a version change while discovery is unreachable.
         """
-        late = self._context.clock.now() >= self._started + SOURCE_MOST
-        return self.source_answered or (late and bool(self._entries))
+        timed_out = self._context.clock.now() >= self._started_at + SOURCE_TIMEOUT_MS
+        return self.source_answered or (timed_out and bool(self._entries))
 
-    def is_known_id(self, ident: str) -> bool:
-        """Whether anybody has that id. One that is restarting may be off the list for now."""
-        return ident in self._named or ident in self.cordoned
+    def is_known_id(self, server_id: str) -> bool:
+        """Whether a server with that id is or was listed, or is cordoned."""
+        return server_id in self._known_ids or server_id in self.cordoned
 
-    def may_begin(self, ident: str) -> bool:
-        """Whether a new connection may begin at a server, by what the list and the operators have told."""
-        entry = self._entries.get(ident)
+    def may_start_attempt(self, server_id: str) -> bool:
+        """Whether a server is listed as live and not cordoned."""
+        entry = self._entries.get(server_id)
         if entry is None or entry.server.state is not it.ServerState.LIVE:
             return False
-        return ident not in self.cordoned
+        return server_id not in self.cordoned
 
     def take_list(self, entries: ServerEntries | None) -> None:
-        """A list has come, or (None) a call for one has failed."""
+        """Apply a list from discovery; None reports a failed call."""
         if entries is None:
             self._context.dispatch(it.ServerList(it.ListKind.UNAVAILABLE))
         else:
-            self.take(entries, it.ListKind.REPLACE if entries.full else it.ListKind.UPDATE)
+            self.apply(entries, it.ListKind.REPLACE if entries.full else it.ListKind.UPDATE)
         self.source_answered |= entries is not None or bool(self._entries)
 
-    def take(self, entries: ServerEntries, kind: it.ListKind) -> None:
-        """Go by a list, whole or (UPDATE) of changes, and tell the module of it."""
+    def apply(self, entries: ServerEntries, kind: it.ListKind) -> None:
+        """Apply a full list or, for UPDATE, changed entries, and report it to the decision module."""
         if kind is not it.ListKind.UPDATE:
             self._entries.clear()
-        self._named.update(entry.server.id for entry in entries.entries)
+        self._known_ids.update(entry.server.id for entry in entries.entries)
         for entry in entries.entries:
             if entry.server.state is it.ServerState.GONE:
                 self._entries.pop(entry.server.id, None)
@@ -76,12 +76,12 @@
         self._context.dispatch(it.ServerList(kind, [m.server for m in entries.entries], entries.version))
 
     def _log_entries(self, entries: ServerEntries, kind: it.ListKind) -> None:
-        if len(entries.entries) > NAMED_MOST:
+        if len(entries.entries) > MAX_LOGGED_ENTRIES:
             log.info("servers", extra={"entries": len(entries.entries), "list": kind.value})
         now = self._context.clock.now()
-        for entry in entries.entries[:NAMED_MOST]:
+        for entry in entries.entries[:MAX_LOGGED_ENTRIES]:
             server = entry.server
             up_s = round((now - server.started) / 1_000.0, 1) if server.started else "long"
-            told = {"server": server.id, "state": server.state.value, "up_s": up_s, "list": kind.value}
-            told |= {"zone": server.zone, "kind": server.kind, "weight": server.weight}
-            log.info("server", extra=told)
+            fields = {"server": server.id, "state": server.state.value, "up_s": up_s, "list": kind.value}
+            fields |= {"zone": server.zone, "kind": server.kind, "weight": server.weight}
+            log.info("server", extra=fields)
--- a/puffinford/core/silent_servers.py
+++ b/puffinford/core/silent_servers.py
@@ -1,4 +1,4 @@
-"""Standing connections at servers that have gone silent."""
+"""Detection of servers that no longer answer on established connections."""
 
 from __future__ import annotations
 
@@ -8,41 +8,53 @@
 from puffinford.core.logger import log
 from puffinford.core.requests import ClientRequest, Completion, ServerAttempt
 
-# A line unanswered this long. The rules allow a silent connection 7 s, and its client may have sent the
-# line 2 s after it fell silent.
+# A connection is moved after this time without input while a line is unanswered.
 SILENCE_LIMIT_MS = 3_500.0
-HUSH = 2_500.0  # a server from which nothing came this long, on any of its connections ...
-HUSH_LINES = 3  # ... while this many of them wait for answers, has vanished
+# A server counts as silent after this time without input on any of its connections ...
+SERVER_SILENCE_LIMIT_MS = 2_500.0
+# ... while at least this many of them have an unanswered line.
+MIN_UNANSWERED_LINES = 3
 
 
-class SilenceWatch:
-    """Moves connections away from servers that answer no more."""
+class SilentServerWatch:
+    """Moves connections away from servers that no longer answer."""
 
     def __init__(self, context: Context, completions: Completions) -> None:
         self._context = context
         self._completions = completions
 
-    def move_silent(self) -> None:
-        """Guards against a server that vanished, or stopped on one connection: these stay open, and quiet."""
+    def move_connections(self) -> None:
+        """Move the connections of silent servers, and those that are silent themselves."""
         now = self._context.clock.now()
-        standing = self._context.requests.established()
-        hushed = self._hushed(standing, now)
-        for request, attempt in standing:
+        established = self._context.requests.established()
+        silent_servers = self._silent_servers(established, now)
+        for request, attempt in established:
             silence = attempt.unanswered.silence(now)
-            ident = attempt.entry.server.id
-            if silence > SILENCE_LIMIT_MS or ident in hushed:
-                log.warning("silent", extra={"request": request.id, "server": ident, "ms": round(silence)})
+            server_id = attempt.entry.server.id
+            if silence > SILENCE_LIMIT_MS or server_id in silent_servers:
+                log.warning(
+                    "silent", extra={"request": request.id, "server": server_id, "ms": round(silence)}
+                )
                 self._completions.close(request, Completion(move=True), it.Result.RESET)
 
-    def _hushed(self, standing: list[tuple[ClientRequest, ServerAttempt]], now: float) -> set[str]:
-        """The servers that have vanished, as their connections tell together.
+    def _silent_servers(self, established: list[tuple[ClientRequest, ServerAttempt]], now: float) -> set[str]:
+        """Servers that are silent on all their connections.
 
-        Guards the clients that have sent nothing of late: each alone would find out seconds later.
+        Detects the failure earlier than each connection could on its own.
         """
-        heard: dict[str, float] = {}
-        waits: dict[str, int] = {}
-        for _, attempt in standing:
-            ident = attempt.entry.server.id
-            heard[ident] = max(heard.get(ident, 0.0), attempt.unanswered.last_heard, attempt.started)
-            waits[ident] = waits.get(ident, 0) + (attempt.unanswered.age(now) > 0.0)
-        return {ident for ident, at in heard.items() if waits[ident] >= HUSH_LINES and now - at > HUSH}
+        last_heard_at: dict[str, float] = {}
+        unanswered_lines: dict[str, int] = {}
+        for _, attempt in established:
+            server_id = attempt.entry.server.id
+            last_heard_at[server_id] = max(
+                last_heard_at.get(server_id, 0.0), attempt.unanswered.last_heard, attempt.started_at
+            )
+            unanswered_lines[server_id] = unanswered_lines.get(server_id, 0) + (
+                attempt.unanswered.age(now) > 0.0
+            )
+        return {
+            server_id
+            for server_id, heard_at in last_heard_at.items()
+            if unanswered_lines[server_id] >= MIN_UNANSWERED_LINES
+            and now - heard_at > SERVER_SILENCE_LIMIT_MS
+        }
--- a/puffinford/core/stall.py
+++ b/puffinford/core/stall.py
@@ -1,4 +1,4 @@
-"""Doubt in the server list after the program itself stood still."""
+"""Detection of stalls of this process, after which the server list may be out of date."""
 
 from __future__ import annotations
 
@@ -8,51 +8,50 @@
 from puffinford.core.logger import log
 from puffinford.core.values import ServerListSource
 
-WATCH = 500.0  # between turns of the exchange's own loop, in ms
-STALLED = 300.0  # the program itself came this late to its turn: all limits were late by as much
-DOUBT_MOST = 500.0  # after that a new attempt waits so long for a list, and no longer
+WATCH_INTERVAL_MS = 500.0  # between checks by the exchange
+STALL_THRESHOLD_MS = 300.0  # a check this late is a stall of the process
+LIST_WAIT_MS = 500.0  # longest wait of a new attempt for a list after a stall
 
 
 class StallWatch:
-    """Notices that the program stood still, and has the list asked for anew before it is relied on."""
+    """Detects that the process was suspended, and requests a new list before the old one is used."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._source: ServerListSource | None = None
-        self._turned = clock.now()  # the last turn of the exchange's loop
-        self._doubted = float("-inf")  # until then a list is waited for, since the program stood still ...
-        self._news = anyio.Event()  # ... unless it has come
+        self._interval_started_at = clock.now()
+        self._suspect_until = float("-inf")  # or until a list arrives
+        self._list_update = anyio.Event()
 
-    def watch(self, source: ServerListSource) -> None:
-        """Ask this source from now on."""
+    def set_source(self, source: ServerListSource) -> None:
+        """Set the source that is refreshed after a stall."""
         self._source = source
 
-    def turn(self) -> None:
-        """A turn of the exchange's loop begins; the next is WATCH away."""
-        self._turned = self._clock.now()
+    def start_interval(self) -> None:
+        """Start an interval: the next check is expected in WATCH_INTERVAL_MS."""
+        self._interval_started_at = self._clock.now()
 
-    def list_came(self) -> None:
-        """A list has come: what it says is of after the stall."""
-        self._news.set()
+    def list_received(self) -> None:
+        """Record that a list has arrived since the stall."""
+        self._list_update.set()
 
-    def in_doubt(self) -> bool:
-        """Whether the list may be out of date, for the program stood still and has not heard anew since."""
+    def is_list_suspect(self) -> bool:
+        """Check for a stall; return whether the list is suspect because none has arrived since."""
         now = self._clock.now()
-        late = now - self._turned - WATCH
-        if late > STALLED:
+        late = now - self._interval_started_at - WATCH_INTERVAL_MS
+        if late > STALL_THRESHOLD_MS:
             log.warning("stalled", extra={"ms": round(late)})
-            self._turned = now
+            self._interval_started_at = now
             if self._source is not None and self._source.refresh():
-                self._doubted = now + DOUBT_MOST
-                self._news = anyio.Event()
-        return now < self._doubted and not self._news.is_set()
+                self._suspect_until = now + LIST_WAIT_MS
+                self._list_update = anyio.Event()
+        return now < self._suspect_until and not self._list_update.is_set()
 
-    async def trusted(self) -> None:
-        """Wait until the list can be trusted.
+    async def wait_for_list(self) -> None:
+        """Wait while the list is suspect, at most LIST_WAIT_MS after the stall.
 
-        Guards a server that was told to drain while the program stood still: what had been written to it
-        counts as told, and clients of before the stop were sent there for a second after it.
+        Prevents new connections to servers that began to drain while the process was suspended.
         """
-        if self.in_doubt():
-            with self._clock.limit(self._doubted - self._clock.now()):
-                await self._news.wait()
+        if self.is_list_suspect():
+            with self._clock.limit(self._suspect_until - self._clock.now()):
+                await self._list_update.wait()
--- a/puffinford/core/transient_errors.py
+++ b/puffinford/core/transient_errors.py
@@ -1,7 +1,7 @@
-"""What this machine may lack for a moment: ports, buffers, memory, places in the system's tables.
+"""System call errors caused by a short local shortage of ports, buffers, memory or descriptors.
 
-The error numbers are those that Linux documents for socket(2), connect(2), accept(2), send(2) and recv(2).
-A call that failed with one of them is made again after a pause; the peer has done nothing amiss.
+The error numbers are those documented for socket(2), connect(2), accept(2), send(2) and recv(2) on Linux. A
+call that fails with one of them is retried after a pause and does not count as a failure of the peer.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
         errno.EAGAIN,
     )
 )  # fmt: skip
-# Failures that may be over in a moment, and none of the peer's; of descriptors the budget keeps count.
+# Without EMFILE, because the process's own descriptors are limited by a budget.
 TRANSIENT_ERRNOS = LOCAL_SHORTAGE_ERRNOS - {errno.EMFILE} | {errno.ENETUNREACH}
 RETRY_PAUSES_MS = (
     10.0,
@@ -29,11 +29,11 @@
     80.0,
     160.0,
     320.0,
-)  # ms before a call is made again; no line is held 1 s
+)
 
 
 def is_transient(failure: BaseException) -> bool:
-    """Whether a failure, or what a library gives as its cause, is a lack of the moment."""
+    """Whether an exception or one of its causes has one of TRANSIENT_ERRNOS."""
     cause: BaseException | None = failure
     while cause is not None:
         if isinstance(cause, OSError) and cause.errno in TRANSIENT_ERRNOS:
@@ -43,7 +43,7 @@
 
 
 async def retry_transient(call: Callable[[], T], clock: Clock) -> T:
-    """What a call gives, made again while it fails for a lack of the moment; raises the last failure."""
+    """Return the result of a call, retried while it fails with a transient error; raises the last error."""
     for pause in RETRY_PAUSES_MS:
         try:
             return call()
--- a/puffinford/core/values.py
+++ b/puffinford/core/values.py
@@ -1,4 +1,4 @@
-"""What the two sides and the exchange say to each other: small typed values, decoded once by a front."""
+"""Types and protocols shared by the core and the protocol fronts."""
 
 from __future__ import annotations
 
@@ -12,44 +12,44 @@
 
 
 class InvalidOpening(Exception):
-    """An opening that asks for nothing that can be served; the text says why."""
+    """Raised for an opening that cannot be served. The text is sent to the client."""
 
 
 _NUMBER = re.compile(r"\d{1,15}(\.\d{1,15})?", re.ASCII)
 
 
 def parse_number(text: str | None) -> float | None:
-    """A plain number of 0 or more, or None.
+    """Parse a non-negative decimal number; return None for anything else.
 
-    Guards against what only float() takes for one: exponents, underscores, spaces, infinity.
+    Rejects forms that float() accepts: exponents, underscores, spaces and infinity.
     """
     return float(text) if text is not None and _NUMBER.fullmatch(text) else None
 
 
 @dataclass(frozen=True, slots=True)
 class Opening:
-    """What a client asks for. `parameters` are all its named values in their order, `wait` (d) among them."""
+    """A client's request for a connection. `parameters` holds all its named values in their order."""
 
-    request_id: str  # the client's own id for it
+    request_id: str  # chosen by the client
     key: str
-    cls: str
-    wait: float  # milliseconds that the client will wait for UP
+    cls: str  # name of the request class
+    wait: float  # how long the client waits for UP, in ms
     tenant: str | None = None
     group: str | None = None
     retry: bool = False
     came_back: bool = False
-    at: str | None = None  # the server that already holds this connection
-    load: float | None = None
+    resume_server: str | None = None  # server that already holds this connection
+    expected_load: float | None = None  # work per second
     parameters: tuple[tuple[str, str | None], ...] = ()
 
     @classmethod
     def from_parameters(
         cls, request_id: str, key: str, parameters: tuple[tuple[str, str | None], ...]
     ) -> Opening:
-        """An opening from its named values, whichever front brought them; raises BadOpening."""
+        """Build an opening from its named values; raises InvalidOpening."""
         named = dict(parameters)
         if len(named) < len(parameters):
-            # Guards against an opening that we and a server read differently.
+            # Prevents an opening that the balancer and a server read differently.
             raise InvalidOpening("a name stands there twice")
         wait = parse_number(named.get("d"))
         if not named.get("c"):
@@ -72,56 +72,63 @@
 
 
 class MessageKind(Enum):
+    """What a message on an established connection means."""
+
     DATA = "data"
-    BYE = "bye"  # the server has served the connection to its end
-    MOVE = "move"  # the server sends its client away
-    NOTE = "note"  # the server's note: which of the two the settings name
+    BYE = "bye"  # the server has completed the connection
+    MOVE = "move"  # the server asks its client to reconnect elsewhere
+    NOTE = "note"  # load of the connection or message delay at the server, depending on the settings
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message on a standing connection, as it came, with its line end.
+    """One message on an established connection, as received, with its line end.
 
-    Where a front tells a kind other than by a line, `data` is empty.
+    `data` is empty where the front does not encode this kind as a line.
     """
 
     data: bytes
     kind: MessageKind = MessageKind.DATA
-    note: float = 0.0
-    report: str = ""  # the load report of a BYE, as text
+    note: float = 0.0  # value of a NOTE
+    report: str = ""  # undecoded load report of a BYE
 
 
 @dataclass(frozen=True, slots=True)
 class Up:
+    """The answer to an opening whose connection is established."""
+
     receipt: str
 
 
 @dataclass(frozen=True, slots=True)
 class Busy:
-    """Trying again is harmless, and after how many ms."""
+    """A refusal: retrying has no side effects. `retry_after` is in ms."""
 
     retry_after: float = 0.0
-    reason: str = ""  # for the log: what gave it up
+    reason: str = ""  # logged only
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
+    """A final failure: the request may have taken effect."""
+
     reason: str = "failed"
-    timed_out: bool = False  # the client's time was up
+    timed_out: bool = False  # the client's deadline has passed
 
 
 class PeerClosed(Exception):
-    """The peer ended its side in order."""
+    """Raised when the peer has closed its side in order."""
 
 
 class ConnectionBroken(Exception):
-    """The connection broke."""
+    """Raised when the connection was reset or failed."""
 
 
 class AttemptEnded(Exception):
-    """An attempt ended without standing; `messages` are what the server sent for the client.
+    """Raised when an attempt ends without an established connection.
 
-    `report` is the load report beside the server's answer, as text; empty where there is none.
+    `messages` are those that the server sent for the client. `report` is the undecoded load report in the
+    server's answer, or empty.
     """
 
     def __init__(self, result: Result, messages: tuple[Message, ...] = (), report: str = "") -> None:
@@ -133,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """An entry of the server list: what the decisions see of a server, its address and its front."""
+    """An entry of the server list: the server as used in decisions, its address and its protocol front."""
 
     server: Server
     host: str
@@ -143,22 +150,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEntries:
+    """A server list, either a full snapshot or (`full` unset) the changed entries only."""
+
     version: int
     full: bool
     entries: list[ServerEntry] = field(default_factory=list)
 
     @property
     def size(self) -> int:
-        """The number of entries."""
+        """Number of entries."""
         return len(self.entries)
 
 
 @dataclass(frozen=True, slots=True)
 class RestoredState:
-    """What a start goes by before discovery has spoken: a list, and how far it can be relied on.
+    """Server list and health used after a start until discovery has answered.
 
-    At most `max_attempts` attempts (0: any number) are out at once to entries in `unverified`, for
-    `attempt_timeout` ms each.
+    At most `max_attempts` attempts (0: no limit) are in progress at once to servers in `unverified`, each
+    with a timeout of `attempt_timeout` ms.
     """
 
     entries: ServerEntries
@@ -169,77 +178,84 @@
 
 
 class PeerConnection(Protocol):
-    """One side's connection of a request."""
+    """The connection of a request to its client or its server."""
 
     async def receive(self) -> Message:
-        """The next message; raises Ended or Broken."""
+        """Return the next message; raises PeerClosed or ConnectionBroken."""
 
     async def send(self, message: Message) -> None:
-        """Pass a message on whole; raises Broken."""
+        """Write a complete message; raises ConnectionBroken."""
 
     async def end_sending(self) -> None:
-        """Tell the peer that nothing more comes."""
+        """Close the sending direction."""
 
     async def end(self) -> None:
-        """End in order, within a second."""
+        """Close in order, within a second."""
 
     async def abort(self) -> None:
-        """Break the connection, so that the peer sees it broken."""
+        """Reset the connection."""
 
 
 class ClientConnection(PeerConnection, Protocol):
+    """The connection to the client of a request."""
+
     async def has_left(self) -> bool:
-        """Whether the client has ended or cancelled, as far as that has arrived, read or not."""
+        """Whether the client has closed or cancelled, including input received but not yet read."""
 
     async def answer(self, answer: Up | Busy | Failed) -> None:
-        """The one answer to the opening. Any but UP is the last of the connection, and `end` follows."""
+        """Send the only answer to the opening. After any answer but UP the caller closes with `end`."""
 
     async def move(self) -> None:
-        """Tell the client to come back through the front."""
+        """Ask the client to reconnect."""
 
 
 class ServerConnector(Protocol):
+    """Opens connections to servers over one protocol."""
+
     async def open_connection(
         self,
         entry: ServerEntry,
         opening: Opening,
-        wait: float,
+        timeout_ms: float,
         admit: Callable[[], Awaitable[None]],
-        sent: Callable[[], None],
+        on_sent: Callable[[], None],
     ) -> tuple[PeerConnection, Up]:
-        """Make an attempt; raises AttemptEnded with its result, TIMEOUT after `wait`.
+        """Make one attempt; raises AttemptEnded with its result, TIMEOUT after `timeout_ms`.
 
-        `admit` is awaited once the connection is there, right before the first byte of the opening, and may
-        end the attempt; `sent` is called once its last byte has been written.
+        `admit` is awaited when the transport has connected, before the first byte of the opening, and may end
+        the attempt. `on_sent` is called when the last byte of the opening has been written.
         """
 
-    async def probe(self, entry: ServerEntry, wait: float, load: bool) -> tuple[Result, str]:
-        """Whether the machine answers within `wait` ms; with `load` also its load report as text, if any."""
+    async def probe(self, entry: ServerEntry, timeout_ms: float, load: bool) -> tuple[Result, str]:
+        """Probe a server for at most `timeout_ms`.
+
+        Returns the result and, with `load`, the server's undecoded load report.
+        """
 
 
 class RequestObserver(Protocol):
-    """Hears what becomes of requests. What it does takes no time and raises nothing."""
+    """Callbacks on the outcome of requests. They must neither block nor raise."""
 
-    def on_established(self, key: int, cls: str, server: str, set_up: float) -> None:
-        """A connection stands, `set_up` ms after its opening came."""
+    def on_established(self, key: int, cls: str, server: str, setup_ms: float) -> None:
+        """A connection is established, `setup_ms` after its opening arrived."""
 
     def on_refused(self, key: int, cls: str, *, failed: bool) -> None:
-        """A request of a known class was told to retry later, or (`failed`) got any other answer."""
+        """A request of a known class was refused with a retry time or, with `failed`, failed."""
 
-    def on_closed(self, key: int, cls: str, server: str, stood: float, *, cut: bool) -> None:
-        """A connection that stood for so many ms ended; `cut` where neither side wanted it."""
+    def on_closed(self, key: int, cls: str, server: str, duration_ms: float, *, cut: bool) -> None:
+        """An established connection has ended; `cut` when neither its client nor its server closed it."""
 
-    def on_delay(self, server: str, delay: float) -> None:
-        """Messages at a server take so many ms."""
+    def on_delay(self, server: str, delay_ms: float) -> None:
+        """A server takes `delay_ms` to answer a message."""
 
 
 class ServerListSource(Protocol):
-    """Where server lists come from; the exchange hears of each through `take_list`."""
+    """A source of server lists. It passes each list to `Exchange.take_list`."""
 
     def subscribe(self, on: bool) -> None: ...
 
     def fetch(self) -> None: ...
 
     def refresh(self) -> bool:
-        """Ask for what is new at once, whatever call is out; tells whether an answer may come."""
+        """Request changes now, even if a call is in progress; return whether an answer may follow."""
         ...
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -21,7 +21,7 @@
 from hypothesis import strategies as st
 
 from puffinford import interface as it
-from puffinford.core.shutdown import ARRIVALS, HELD_UP, plan_shutdown
+from puffinford.core.shutdown import ARRIVAL_PERIOD_MS, SUSPENSION_ALLOWANCE_MS, plan_shutdown
 from puffinford.fronts.channels import codec
 from tests.harness import ChannelPeer, Peer, opening
 from tests.processes import Site, site
@@ -57,9 +57,11 @@
     ]
     plan = plan_shutdown(told, has_ready_successor=has_ready_successor)
     assert plan.kill_at == min(max(deadlines), max(others), 3_000.0) + 700.0
-    assert 0.0 <= plan.move_from <= plan.answer_at < plan.close_at <= plan.kill_at - HELD_UP
-    assert plan.answer_at >= ARRIVALS and plan.close_at < plan.last_at < plan.kill_at
-    assert has_ready_successor or plan.move_from >= ARRIVALS, "clients moved before would come back here"
+    assert 0.0 <= plan.move_from <= plan.answer_at < plan.close_at <= plan.kill_at - SUSPENSION_ALLOWANCE_MS
+    assert plan.answer_at >= ARRIVAL_PERIOD_MS and plan.close_at < plan.last_at < plan.kill_at
+    assert has_ready_successor or plan.move_from >= ARRIVAL_PERIOD_MS, (
+        "clients moved before would come back here"
+    )
 
 
 class Story:
--- a/tests/test_stall.py
+++ b/tests/test_stall.py
@@ -1,4 +1,4 @@
-"""A balancer that stood still for seconds: what it was told meanwhile counts, though it has not read it."""
+"""Stalls of the process: a list that changed meanwhile is read before new attempts are made."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 import pytest
 
 from puffinford.core.clock import SettableClock
-from puffinford.core.stall import DOUBT_MOST
+from puffinford.core.stall import LIST_WAIT_MS
 from puffinford.core.values import ServerEntries
 from puffinford.interface import ServerState
 from puffinford.server_list.discovery import ANSWER_GRACE_MS, WATCH_WAIT_MS, DiscoveryWatch
 from tests.harness import Peer, discovery, echo, harness, opening
 
-STOOD = 4_000.0  # ms
+STALL_MS = 4_000.0
 
 
 @pytest.mark.anyio
-@pytest.mark.parametrize("news", ["draining", "none", "a failed call", "nothing at all"])
-async def test_after_a_stop_new_claims_wait_for_the_list_and_no_longer_than_half_a_second(news: str) -> None:
-    """A server was told to drain while the balancer was frozen; it sent clients there for a second more."""
+@pytest.mark.parametrize("update", ["draining", "none", "a failed call", "nothing at all"])
+async def test_after_a_stall_new_attempts_wait_for_the_list_for_half_a_second_at_most(update: str) -> None:
+    """Guards against attempts at servers that began to drain during the stall."""
     attempts: list[str] = []
 
     def server(ident: str):  # type: ignore[no-untyped-def]
@@ -37,24 +37,24 @@
         here.source.refreshable = True
         await here.server("s-1", server("s-1"))
         await here.settle()
-        here.clock.advance(STOOD)  # in one step: no turn came in it
+        here.clock.advance(STALL_MS)  # in one step, without a check in between
         client = await here.client(opening("0a"))
         for _ in range(20):
             await here.settle()
         assert attempts == [] and here.source.refresh_calls == 1, "asked at once, and once"
-        if news == "draining":
+        if update == "draining":
             await here.server("s-2", server("s-2"))
             here.list_server("s-1", 1, ServerState.DRAINING)
-        elif news == "none":
+        elif update == "none":
             here.exchange.take_list(ServerEntries(2, False, []))
         else:
-            if news == "a failed call":
-                here.exchange.take_list(None)  # the one of before the stop, whose time is up
+            if update == "a failed call":
+                here.exchange.take_list(None)  # the call from before the stall, which timed out
                 await here.settle()
                 assert attempts == []
-            here.clock.advance(DOUBT_MOST)
+            here.clock.advance(LIST_WAIT_MS)
         assert await client.line() == b"UP 0a\r\n"
-        assert attempts == ["s-2" if news == "draining" else "s-1"]
+        assert attempts == ["s-2" if update == "draining" else "s-1"]
         fresh = await here.client(opening("0b"))
         assert await fresh.line() == b"UP 0b\r\n", "trusted again"
         here.tasks.cancel_scope.cancel()
@@ -74,7 +74,7 @@
 
 @pytest.mark.anyio
 async def test_a_refresh_asks_without_waiting_whatever_call_is_out() -> None:
-    """The call that was out is over its time after a stop; the next one came up to two seconds later."""
+    """Guards against waiting up to 2 s for the next call when the current one times out after a stall."""
     asked: list[bytes] = []
     taken: list[ServerEntries | None] = []
     heard = anyio.Event()
@@ -92,7 +92,7 @@
         await here.settle()
         watch.subscribe(True)
         await heard.wait()
-        while len(asked) < 2:  # the watch is out now, and waits
+        while len(asked) < 2:  # the watch is waiting now
             await anyio.sleep(0)
         clock.advance(WATCH_WAIT_MS + ANSWER_GRACE_MS)
         assert watch.refresh()
