--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""One real balancer process among stand-in servers, with faults of the system under it."""
+"""A balancer process with stand-in servers and discovery, and injected system call faults."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 
 
 def unix_ms() -> float:
-    """The time that servers tell, which no step of the balancer's clock changes."""
+    """Return Unix time in ms, which is not affected by steps of the balancer's wall clock."""
     return time.time() * 1_000.0
 
 
 class FaultPlan:
-    """What the process's system does to it; see `tests/seam`."""
+    """Faults injected into a process; see `tests/seam/sitecustomize.py`."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -44,46 +44,48 @@
     def apply(
         self, wall_s: float = 0.0, *faults: dict[str, Any], seed: int = 1, signals: Sequence[int] = ()
     ) -> None:
-        """Put this in force, whole and at once."""
-        fresh = self.path.with_suffix(".new")
-        fresh.write_text(json.dumps({"wall_s": wall_s, "faults": faults, "seed": seed, "signals": signals}))
-        fresh.replace(self.path)
+        """Replace the plan atomically."""
+        new_file = self.path.with_suffix(".new")
+        new_file.write_text(
+            json.dumps({"wall_s": wall_s, "faults": faults, "seed": seed, "signals": signals})
+        )
+        new_file.replace(self.path)
 
 
 @dataclass
 class Site:
-    """The process, and what is round it. Its clients stand until it ends."""
+    """A balancer process and its environment. Its clients stay connected until it ends."""
 
     directory: Path
     running: Program
     plan: FaultPlan
-    lists: Discovery
+    discovery: Discovery
     port: int
     servers: list[str]
     openings: Counter[str] = field(default_factory=Counter)
     start: Callable[[], Awaitable[Program]] | None = None
-    channel_port: int = 0  # where its channel front listens, if it has one
+    channel_port: int = 0  # 0: without channel front
 
     def configure(self, **settings: Any) -> None:
-        """Write its configuration anew, with these settings changed; a SIGHUP has it read."""
+        """Change settings in the configuration file. SIGHUP reloads it."""
         path = self.directory / "config.json"
-        told = json.loads(path.read_text())
-        told["settings"].update(settings)
-        path.write_text(json.dumps(told))
+        config = json.loads(path.read_text())
+        config["settings"].update(settings)
+        path.write_text(json.dumps(config))
 
     async def wait_stored(self) -> None:
-        """Wait until the process's store holds the list as discovery has it."""
+        """Wait until the process has stored discovery's current list."""
         path = self.directory / "puffinford.n1.state"
         while True:
             with contextlib.suppress(StoreFailed):
-                if inspect(path).version == self.lists.registry.version:
+                if inspect(path).version == self.discovery.registry.version:
                     return
             await anyio.sleep(0.02)
 
     async def restart(self, wall_s: float, *faults: dict[str, Any], signals: Sequence[int] = ()) -> None:
-        """Kill it, and start it anew under a wall clock that was stepped meanwhile, and under faults.
+        """Kill the process and start it again with faults and the wall clock stepped by `wall_s` seconds.
 
-        `signals` come as it begins to listen.
+        `signals` are sent when it begins to listen.
         """
         assert self.start is not None
         self.running.process.kill()
@@ -92,90 +94,95 @@
         self.running = await self.start()
         self.port = await self.running.port(b"lines")
 
-    async def connect(self, job: str) -> tuple[Peer, bytes]:
-        """A client that asks, and the first line of its answer."""
+    async def connect(self, request_id: str) -> tuple[Peer, bytes]:
+        """Connect a client and send an opening; return the client and the first line of the answer."""
         peer = Peer(await anyio.connect_tcp("127.0.0.1", self.port))
-        await peer.send_line(opening(job))
+        await peer.send_line(opening(request_id))
         return peer, await peer.line()
 
     async def connect_many(self, number: int, name: str = "c") -> Counter[str]:
-        """So many clients, one after another, which stay: the first words of their answers."""
+        """Connect `number` clients one after another; count the first words of their answers."""
         answers: Counter[str] = Counter()
         for n in range(number):
             _, line = await self.connect(f"{name}{n}")
             answers[line.split()[0].decode() if line.strip() else "none"] += 1
         return answers
 
-    async def told(self, ident: str, **more: object) -> None:
-        """Change an entry, or tell it again, and wait until the process has taken it."""
-        self.lists.put(ident, **more)
-        await self.running.wait_for_log(f"server={ident} .*list=update".encode())
+    async def update_entry(self, server_id: str, **fields: object) -> None:
+        """Change or repeat an entry of discovery, and wait until the process has applied it."""
+        self.discovery.put(server_id, **fields)
+        await self.running.wait_for_log(f"server={server_id} .*list=update".encode())
 
 
 @asynccontextmanager
 async def site(
     directory: Path,
-    count: int = 2,
-    started: float = 0.0,
-    listed: str = "sound",
-    own: Sequence[Script] = (),
+    server_count: int = 2,
+    started_ago_ms: float = 0.0,
+    discovery_mode: str = "sound",
+    custom_servers: Sequence[Script] = (),
     channels: bool = False,
     sockets: int = 1_024,
     **settings: Any,
 ) -> AsyncIterator[Site]:
-    """A balancer with `count` sound servers, each of which started `started` ms ago (0: long ago).
+    """Run a balancer with `server_count` echo servers, started `started_ago_ms` ago (0: long ago).
 
-    `listed` is how discovery is from the start, `own` are servers of the story's own behind the sound ones.
-    `channels` turns the channel front on; the process may hold `sockets` descriptors.
+    `discovery_mode` is discovery's initial state. `custom_servers` are added to the echo servers.
+    `channels` enables the channel front. The process may use `sockets` descriptors.
     """
     plan = FaultPlan(directory / "plan.json")
     config = directory / "config.json"
     openings: Counter[str] = Counter()
     async with harness() as here:
         clock = Clock()
-        lists = Discovery(clock, Trace(clock.now), here.tasks)
-        lists.become(listed)
-        servers = [f"s-{n}" for n in range(1, count + len(own) + 1)]
-        scripts = [*(_sound(ident, openings) for ident in servers[:count]), *own]
-        for ident, script in zip(servers, scripts, strict=True):
-            lists.registry.put(
-                ident,
+        discovery = Discovery(clock, Trace(clock.now), here.tasks)
+        discovery.become(discovery_mode)
+        servers = [f"s-{n}" for n in range(1, server_count + len(custom_servers) + 1)]
+        scripts = [
+            *(_echo_server(server_id, openings) for server_id in servers[:server_count]),
+            *custom_servers,
+        ]
+        for server_id, script in zip(servers, scripts, strict=True):
+            discovery.registry.put(
+                server_id,
                 addr=f"127.0.0.1:{await here.listen(_handler(script))}",
-                started_ms=unix_ms() - started if started else 0,
+                started_ms=unix_ms() - started_ago_ms if started_ago_ms else 0,
             )
-        told = {
+        contents = {
             "listen": "127.0.0.1:0",
             "mgmt": "127.0.0.1:0",
-            "discovery": lists.address,
+            "discovery": discovery.address,
             "limits": {"sockets": sockets},
             "settings": {**SETTINGS, **settings},
         }
-        config.write_text(json.dumps({"name": "n1", **told}))
+        config.write_text(json.dumps({"name": "n1", **contents}))
         env: dict[str, Any] = {
             "FAULT_PLAN": str(plan.path),
             "PYTHONPATH": str(SEAM),
             "TMPDIR": str(directory),
         }
-        words: list[str] = []
+        arguments: list[str] = []
         if channels:
             operators = directory / "puffinford.conf"
             operators.write_text("section channels\n enabled on\n listen 127.0.0.1:0\n")
-            words = ["serve", "--settings", str(operators)]
+            arguments = ["serve", "--settings", str(operators)]
         async with AsyncExitStack() as processes:
 
             async def start() -> Program:
-                return await processes.enter_async_context(program(config, *words, **env))
+                return await processes.enter_async_context(program(config, *arguments, **env))
 
             running = await start()
             port = await running.port(b"lines")
             channel_port = await running.port(b"channels") if channels else 0
-            if listed == "sound":
+            if discovery_mode == "sound":
                 await running.wait_for_log(b"server=s-1 .*list=replace")
-            made = Site(directory, running, plan, lists, port, servers, openings, start, channel_port)
-            yield made
+            balancer_site = Site(
+                directory, running, plan, discovery, port, servers, openings, start, channel_port
+            )
+            yield balancer_site
             here.over = True
             with contextlib.suppress(ProcessLookupError):
-                made.running.process.kill()
+                balancer_site.running.process.kill()
             here.tasks.cancel_scope.cancel()
 
 
@@ -186,12 +193,12 @@
     return handle
 
 
-def _sound(ident: str, openings: Counter[str]) -> Script:
-    async def stand(peer: Peer) -> None:
+def _echo_server(server_id: str, openings: Counter[str]) -> Script:
+    async def serve(peer: Peer) -> None:
         if (await peer.line()).startswith(b"OPEN"):
-            openings[ident] += 1
+            openings[server_id] += 1
             await peer.send_line(b"UP r1")
             while (line := await peer.line()) not in (b"FIN", b"RST"):
                 await peer.stream.send(line)
 
-    return stand
+    return serve
--- a/tests/seam/sitecustomize.py
+++ b/tests/seam/sitecustomize.py
@@ -1,10 +1,10 @@
-"""Faults of the system under a real process, which loads this through PYTHONPATH.
+"""Injects system call faults into a process, which loads this module through PYTHONPATH.
 
-FAULT_PLAN names a JSON file that is read again whenever it changes: `wall_s`, how far the wall clock is
-stepped, in seconds, and `faults`, each `{"call": NAME, "errno": NAME}`, perhaps with `part` (of the calls,
-drawn from `seed`), `most` (failures in all), `port` (of the peer that a connect goes to) and `file` (the end
-of the name of the file that a call on files is made for). With `slow_s` in place of `errno` a call on files
-takes so many seconds. `signals`, by number, come as it begins to listen.
+FAULT_PLAN names a JSON file, which is read again whenever it changes. `wall_s` is the step of the wall clock
+in seconds. `faults` is a list of `{"call": NAME, "errno": NAME}`, with optional `part` (fraction of calls
+that fail, drawn from `seed`), `most` (maximum number of failures), `port` (peer's port, for connect) and
+`file` (end of the file name, for calls on files). `slow_s` in place of `errno` delays the call by that many
+seconds. `signals` are signal numbers that the process gets when it begins to listen.
 """
 
 from __future__ import annotations
@@ -24,35 +24,35 @@
 _REAL_STAT, _REAL_OPEN = os.stat, io.open
 
 
-class Plan:
-    """The plan in force."""
+class FaultPlan:
+    """The current plan."""
 
     def __init__(self) -> None:
-        self.stamp = -1
-        self.told: dict[str, Any] = {}
-        self.failed: dict[int, int] = {}  # failures so far, by the fault's place in the plan
+        self.modified_ns = -1
+        self.current: dict[str, Any] = {}
+        self.failures: dict[int, int] = {}  # number of failures by the fault's index in the plan
         self.rng = random.Random(0)
 
     def read(self) -> dict[str, Any]:
-        stamp = _REAL_STAT(_PLAN).st_mtime_ns
-        if stamp != self.stamp:
+        modified_ns = _REAL_STAT(_PLAN).st_mtime_ns
+        if modified_ns != self.modified_ns:
             with _REAL_OPEN(_PLAN, "rb") as file:
-                self.told = json.loads(file.read())
-            self.stamp, self.failed = stamp, {}
-            self.rng = random.Random(self.told.get("seed", 0))
-        return self.told
+                self.current = json.loads(file.read())
+            self.modified_ns, self.failures = modified_ns, {}
+            self.rng = random.Random(self.current.get("seed", 0))
+        return self.current
 
     def error(self, call: str, port: int | None = None, file: str = "") -> int:
-        """The error that this call is to fail with; 0 for none."""
+        """Return the errno that this call has to fail with; 0 for none."""
         for number, fault in enumerate(self.read().get("faults", ())):
             if fault["call"] != call or fault.get("port", port) != port:
                 continue
             if not file.endswith(fault.get("file", "")):
                 continue
-            if self.failed.get(number, 0) >= fault.get("most", float("inf")):
+            if self.failures.get(number, 0) >= fault.get("most", float("inf")):
                 continue
             if self.rng.random() < fault.get("part", 1.0):
-                self.failed[number] = self.failed.get(number, 0) + 1
+                self.failures[number] = self.failures.get(number, 0) + 1
                 if "slow_s" in fault:
                     time.sleep(fault["slow_s"])
                     return 0
@@ -60,28 +60,28 @@
         return 0
 
 
-_plan = Plan()
+_plan = FaultPlan()
 
 
-def _fail(error: int) -> None:
+def _raise_error(error: int) -> None:
     if error:
         raise OSError(error, os.strerror(error))
 
 
 def _failing(call: str) -> Callable[..., Any]:
-    whole = getattr(socket.socket, call)
+    original = getattr(socket.socket, call)
 
-    def method(self: socket.socket, *given: Any) -> Any:
-        _fail(_plan.error(call))
-        return whole(self, *given)
+    def method(self: socket.socket, *args: Any) -> Any:
+        _raise_error(_plan.error(call))
+        return original(self, *args)
 
     return method
 
 
-def _failing_on_files(call: str, whole: Callable[..., Any]) -> Callable[..., Any]:
-    def function(path: Any, *given: Any, **named: Any) -> Any:
-        _fail(_plan.error(call, file=str(path)))
-        return whole(path, *given, **named)
+def _failing_on_files(call: str, original: Callable[..., Any]) -> Callable[..., Any]:
+    def function(path: Any, *args: Any, **kwargs: Any) -> Any:
+        _raise_error(_plan.error(call, file=str(path)))
+        return original(path, *args, **kwargs)
 
     return function
 
@@ -89,13 +89,13 @@
 def _accept(self: socket.socket) -> tuple[socket.socket, Any]:
     error = _plan.error("accept")
     if error == errno.ECONNABORTED:
-        _real_accept(self)[0].close()  # the kernel has taken it from the queue
-    _fail(error)
+        _real_accept(self)[0].close()  # the kernel removes it from the queue
+    _raise_error(error)
     return _real_accept(self)
 
 
-def _listen(self: socket.socket, *given: Any) -> None:
-    _real_listen(self, *given)
+def _listen(self: socket.socket, *args: Any) -> None:
+    _real_listen(self, *args)
     for signum in _plan.read().get("signals", ()):
         os.kill(os.getpid(), signum)
 
@@ -105,14 +105,14 @@
 
 
 def _connect(self: socket.socket, address: Any) -> None:
-    _fail(_plan.error("connect", address[1]))
+    _raise_error(_plan.error("connect", address[1]))
     _real_connect(self, address)
 
 
-def _init(self: socket.socket, *given: Any, **named: Any) -> None:
-    if named.get("fileno") is None and len(given) < 4:
-        _fail(_plan.error("socket"))
-    _real_init(self, *given, **named)
+def _init(self: socket.socket, *args: Any, **kwargs: Any) -> None:
+    if kwargs.get("fileno") is None and len(args) < 4:
+        _raise_error(_plan.error("socket"))
+    _real_init(self, *args, **kwargs)
 
 
 if _PLAN:
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals that come in series, to a real process with clients on it."""
+"""Signals sent in quick succession to a process with open connections."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 async def test_signals_in_series_cut_nobody_off(tmp_path: Path) -> None:
-    """A second SIGTERM ended the process at once: none of twenty standing clients got MOVE."""
+    """Guards against a second SIGTERM ending the process before clients get MOVE."""
     async with site(tmp_path) as here:
         clients = [await here.connect(f"0{n}") for n in range(20)]
         assert all(line == b"UP r1\r\n" for _, line in clients)
@@ -31,11 +31,11 @@
             await peer.fin()
         process.send_signal(signal.SIGTERM)
         with anyio.fail_after(3):
-            assert await process.wait() == 0, "told again once all have gone, it ends"
+            assert await process.wait() == 0, "a second SIGTERM after all clients have left ends it"
 
 
 async def test_requests_that_cross_the_end_of_the_process_are_answered(tmp_path: Path) -> None:
-    """Clients that rested until the end were closed on unread; it comes 0.65 s before the kill of 2.7 s."""
+    """Guards against closing idle connections whose request has not been read."""
     async with site(tmp_path) as here:
         clients = [Peer(await anyio.connect_tcp("127.0.0.1", here.port)) for _ in range(40)]
 
@@ -46,20 +46,20 @@
 
         await heard()
         here.running.process.send_signal(signal.SIGTERM)
-        told = anyio.current_time()
-        await anyio.sleep_until(told + 1.5)
+        signalled_at = anyio.current_time()
+        await anyio.sleep_until(signalled_at + 1.5)
         await heard()
         answers: list[bytes] = []
 
         async def cross(client: Peer, number: int) -> None:
-            await anyio.sleep_until(told + 1.95 + 0.015 * number)
+            await anyio.sleep_until(signalled_at + 1.95 + 0.015 * number)
             with contextlib.suppress(anyio.BrokenResourceError):
                 await client.send_line(opening(f"0{number}"))
             answers.append((await client.line()).split()[0])
             if answers[-1] == b"UP":
                 assert await client.line() == b"MOVE\r\n"
             assert await client.line() == b"FIN"
-            assert anyio.current_time() < told + 2.7
+            assert anyio.current_time() < signalled_at + 2.7
 
         async with anyio.create_task_group() as tasks:
             for number, client in enumerate(clients):
@@ -68,8 +68,8 @@
         assert set(answers) <= {b"UP", b"BUSY", b"ERR"}, answers
 
 
-async def test_a_process_told_to_end_as_it_begins_to_listen_serves_who_comes(tmp_path: Path) -> None:
-    """It listened before it could obey: the signal's default ended it over whoever was in its queue."""
+async def test_a_process_signalled_to_end_as_it_begins_to_listen_serves_arrivals(tmp_path: Path) -> None:
+    """Guards against listening before the signal handler is installed."""
     async with site(tmp_path) as here:
         await here.wait_stored()
         await here.restart(0.0, signals=[signal.SIGTERM])
@@ -79,13 +79,7 @@
 
 
 async def test_a_connection_that_rests_is_ended_in_order_before_the_earliest_kill(tmp_path: Path) -> None:
-    """It is held to the kill: a request that is written to it in the last milliseconds is lost.
-
-    The drain counted from SIGTERM, but whoever rested was then held for 10 s more, on a clock that began at
-    the drain's end and knew no kill. The log of such a process ends with `event=drained` 0.45 s after
-    `stopping`; the kill came 0.75 s later, and a request written 1 ms before it got RST in five plays of
-    seven, FIN in two.
-    """
+    """Guards against idle connections held until SIGKILL, whose late requests are lost."""
     classes = [{"name": "price-lookup", "give_up": 500.0, "repeat": "idempotent"}]
     async with site(tmp_path, classes=classes) as here:
         client = Peer(await anyio.connect_tcp("127.0.0.1", here.port))
--- a/tests/test_staleness.py
+++ b/tests/test_staleness.py
@@ -1,6 +1,6 @@
-"""The bound on the server list's age: 6 s after discovery had a change and could be reached, it is known.
+"""Bounded staleness of the server list: a change is applied within 6 s of discovery being reachable.
 
-The clock is settable and the sockets are real; the exchange, its module and the watch are the program's own.
+Uses a settable clock and real sockets.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 from tests.harness import Harness, Peer, harness, settings
 
 pytestmark = pytest.mark.anyio
-TOLD = 6_000.0  # ms after which a change counts as told
-STEP = 50.0
+LIST_DEADLINE_MS = 6_000.0  # latest time at which a change has to be applied
+STEP_MS = 50.0
 
 
 def body(version: int, state: str) -> bytes:
@@ -33,43 +33,43 @@
 
 
 class Service:
-    """Discovery, whose one server begins to drain; `lets_down` is how the calls of `until` ms on end."""
+    """Discovery with one server, which begins to drain. If set, `failure` handles every call."""
 
     def __init__(self, clock: SettableClock) -> None:
         self.clock = clock
         self.version, self.state = 1, "active"
         self.calls = 0
-        self.out = self.most = 0
-        self.lets_down: Callable[[anyio.abc.SocketStream], Awaitable[None]] | None = None
-        self._news = anyio.Event()
+        self.calls_in_progress = self.max_calls_in_progress = 0
+        self.failure: Callable[[anyio.abc.SocketStream], Awaitable[None]] | None = None
+        self._list_changed = anyio.Event()
 
     def wake(self) -> None:
-        """End the watches that wait, with whatever there is to tell."""
-        self._news.set()
-        self._news = anyio.Event()
+        """Answer all waiting watches."""
+        self._list_changed.set()
+        self._list_changed = anyio.Event()
 
     async def play(self, stream: anyio.abc.SocketStream) -> None:
         line = await Peer(stream).line()
         self.calls += 1
-        self.out += 1
+        self.calls_in_progress += 1
         try:
-            if self.lets_down is not None:
-                await self.lets_down(stream)
+            if self.failure is not None:
+                await self.failure(stream)
                 return
             if b"index=%d&" % self.version in line and b"wait=0 " not in line:
                 with self.clock.limit(WATCH_WAIT_MS):
-                    await self._news.wait()
+                    await self._list_changed.wait()
             await stream.send(body(self.version, self.state))
         finally:
-            self.out -= 1
+            self.calls_in_progress -= 1
 
 
 async def silent(stream: anyio.abc.SocketStream) -> None:
     await Peer(stream).line()
-    await hear_end(stream)
+    await wait_for_close(stream)
 
 
-async def hear_end(stream: anyio.abc.SocketStream) -> None:
+async def wait_for_close(stream: anyio.abc.SocketStream) -> None:
     try:
         while True:
             await stream.receive()
@@ -78,9 +78,9 @@
 
 
 async def half(stream: anyio.abc.SocketStream) -> None:
-    whole = body(2, "leaving")
-    await stream.send(whole[: len(whole) // 2])
-    await hear_end(stream)
+    complete = body(2, "leaving")
+    await stream.send(complete[: len(complete) // 2])
+    await wait_for_close(stream)
 
 
 async def reset(stream: anyio.abc.SocketStream) -> None:
@@ -105,22 +105,22 @@
                     await clock.sleep(1_000.0)
 
             tasks.start_soon(write)
-            await hear_end(stream)
+            await wait_for_close(stream)
             tasks.cancel_scope.cancel()
 
     return drip
 
 
-FAILING = {"silent": silent, "half": half, "reset": reset, "unavailable": unavailable, "older": older}
+FAILURES = {"silent": silent, "half": half, "reset": reset, "unavailable": unavailable, "older": older}
 
 
 class Watched:
-    """An exchange that hears of discovery through a watch of its own."""
+    """An exchange with its own watch of discovery."""
 
     def __init__(self, here: Harness, pushed: bool, seed: int) -> None:
-        told = settings(list_on_request=not pushed, ask_within=10_000.0)
+        exchange_settings = settings(list_on_request=not pushed, ask_within=10_000.0)
         self.clock = here.clock
-        self.exchange = Exchange(told, seed, here.clock, {})
+        self.exchange = Exchange(exchange_settings, seed, here.clock, {})
         self.guard = ListGuard()
         self.service = Service(here.clock)
         self.here = here
@@ -141,7 +141,7 @@
         watch = DiscoveryWatch(("127.0.0.1", port), None, self.clock, self.take, self.pushed, rng)
         self.here.tasks.start_soon(self.exchange.run, watch)
         self.here.tasks.start_soon(watch.run)
-        await self.pass_time(3_000.0)
+        await self.advance_time(3_000.0)
         assert self.state() is ServerState.LIVE
         self.watch = watch
 
@@ -149,41 +149,45 @@
         backend = self.exchange._balancer.listed_servers.backends.get("s-1")
         return None if backend is None else backend.listed
 
-    async def pass_time(self, ms: float, until: Callable[[], bool] = lambda: False) -> float:
+    async def advance_time(self, ms: float, until: Callable[[], bool] = lambda: False) -> float:
         passed = 0.0
         while passed < ms and not until():
-            self.clock.advance(STEP)
-            passed += STEP
+            self.clock.advance(STEP_MS)
+            passed += STEP_MS
             for _ in range(12):
                 await anyio.sleep(0)
-            self.service.most = max(self.service.most, self.service.out)
+            self.service.max_calls_in_progress = max(
+                self.service.max_calls_in_progress, self.service.calls_in_progress
+            )
         return passed
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("pushed", [False, True], ids=["asked", "pushed"])
 @pytest.mark.parametrize("down", [0.0, 3_000.0, 8_000.0, 30_000.0])
-@pytest.mark.parametrize("way", [*FAILING, "trickling"])
+@pytest.mark.parametrize("way", [*FAILURES, "trickling"])
 async def test_a_change_is_known_6_s_after_discovery_had_it_and_could_be_reached(
     way: str, down: float, pushed: bool, seed: int
 ) -> None:
-    """All calls let us down for `down` ms, or (0) just the watch that is out; the change comes first."""
+    """Every call fails for `down` ms (0: only the current watch), from before the change."""
     async with harness() as here:
         watched = Watched(here, pushed, seed)
         await watched.start()
         service = watched.service
-        service.lets_down = trickling(here.clock) if way == "trickling" else FAILING[way]
-        # The watch that is out ends without news, and the next call is the first to be let down.
+        service.failure = trickling(here.clock) if way == "trickling" else FAILURES[way]
+        # The current watch ends without a change, and the next call is the first to fail.
         calls = service.calls
         service.wake()
         while service.calls == calls:
-            await watched.pass_time(STEP)
+            await watched.advance_time(STEP_MS)
         service.version, service.state = 2, "leaving"
-        await watched.pass_time(down)
-        service.lets_down = None
-        late = await watched.pass_time(TOLD + 500.0, lambda: watched.state() is ServerState.DRAINING)
-        assert late <= TOLD
-        assert service.most <= MAX_CONCURRENT_CALLS
+        await watched.advance_time(down)
+        service.failure = None
+        passed = await watched.advance_time(
+            LIST_DEADLINE_MS + 500.0, lambda: watched.state() is ServerState.DRAINING
+        )
+        assert passed <= LIST_DEADLINE_MS
+        assert service.max_calls_in_progress <= MAX_CONCURRENT_CALLS
         here.tasks.cancel_scope.cancel()
 
 
@@ -192,24 +196,26 @@
 async def test_a_change_in_a_long_outage_after_a_long_quiet_time_is_known_in_time(
     pushed: bool, seed: int
 ) -> None:
-    """Five quiet minutes, then two in which each call ends in a way that is drawn for it."""
+    """After five minutes without changes, every call fails in a random way for two minutes."""
     async with harness() as here:
         watched = Watched(here, pushed, seed)
         await watched.start()
-        await watched.pass_time(300_000.0)
+        await watched.advance_time(300_000.0)
         service, rng = watched.service, random.Random(seed)
 
         async def any_way(stream: anyio.abc.SocketStream) -> None:
-            await FAILING[rng.choice(sorted(FAILING))](stream)
+            await FAILURES[rng.choice(sorted(FAILURES))](stream)
 
-        service.lets_down = any_way
+        service.failure = any_way
         service.wake()
-        await watched.pass_time(60_000.0)
+        await watched.advance_time(60_000.0)
         service.version, service.state = 2, "leaving"
-        await watched.pass_time(60_000.0)
-        service.lets_down = None
-        late = await watched.pass_time(TOLD + 500.0, lambda: watched.state() is ServerState.DRAINING)
-        assert late <= TOLD and service.most <= MAX_CONCURRENT_CALLS
+        await watched.advance_time(60_000.0)
+        service.failure = None
+        passed = await watched.advance_time(
+            LIST_DEADLINE_MS + 500.0, lambda: watched.state() is ServerState.DRAINING
+        )
+        assert passed <= LIST_DEADLINE_MS and service.max_calls_in_progress <= MAX_CONCURRENT_CALLS
         here.tasks.cancel_scope.cancel()
 
 
@@ -218,15 +224,18 @@
     async with harness() as here:
         watched = Watched(here, pushed, 1)
         await watched.start()
-        watched.service.lets_down = silent
+        watched.service.failure = silent
         watched.service.calls = 0
-        await watched.pass_time(60_000.0)
-        assert watched.service.most <= MAX_CONCURRENT_CALLS and watched.service.calls <= 60_000.0 / 2_000.0
+        await watched.advance_time(60_000.0)
+        assert (
+            watched.service.max_calls_in_progress <= MAX_CONCURRENT_CALLS
+            and watched.service.calls <= 60_000.0 / 2_000.0
+        )
         here.tasks.cancel_scope.cancel()
 
 
 async def test_a_discovery_that_answers_a_watch_at_once_costs_ten_calls_a_second() -> None:
-    """A watch that never waits would take the core that the clients need."""
+    """Prevents a busy loop on a discovery service whose watches do not wait."""
     async with harness() as here:
         watched = Watched(here, False, 1)
         await watched.start()
@@ -234,9 +243,9 @@
         async def at_once(stream: anyio.abc.SocketStream) -> None:
             await stream.send(body(1, "active"))
 
-        watched.service.lets_down = at_once
+        watched.service.failure = at_once
         watched.watch.refresh()
         watched.service.calls = 0
-        await watched.pass_time(5_000.0)
+        await watched.advance_time(5_000.0)
         assert 10 <= watched.service.calls <= 55
         here.tasks.cancel_scope.cancel()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail as Linux documents, under a real process."""
+"""A process whose system calls fail with errors documented for Linux."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 pytestmark = pytest.mark.anyio
 
 
-# Each call, its error and the part of the calls that fail so. Seven in a row of those that pass bytes, which
-# would be no moment any more, are one of ten million.
-LACKS = [
+# Call, error and the fraction of calls that fail. Seven failures in a row of a `send` or `recv`, which would
+# end its retries, have a probability of one in ten million.
+SHORTAGES = [
     ("connect", "EADDRNOTAVAIL", 0.3),
     ("connect", "ENETUNREACH", 0.3),
     ("socket", "ENOBUFS", 0.3),
@@ -31,16 +31,16 @@
 ]
 
 
-async def test_what_this_machine_lacks_for_a_moment_costs_no_client_its_answer(tmp_path: Path) -> None:
-    """A lack of ports was taken for the servers' failure: 42 of 150 clients were turned away."""
-    async with site(tmp_path, count=3) as here:
-        for number, (call, error, part) in enumerate(LACKS):
+async def test_transient_local_shortages_cost_no_client_its_answer(tmp_path: Path) -> None:
+    """Guards against counting local errors as failures of servers."""
+    async with site(tmp_path, server_count=3) as here:
+        for number, (call, error, part) in enumerate(SHORTAGES):
             here.plan.apply(0.0, {"call": call, "errno": error, "part": part}, seed=number)
             assert await here.connect_many(40, f"{number}-") == {"UP": 40}, (call, error)
 
 
-async def test_a_moment_without_room_for_newcomers_sends_nobody_away(tmp_path: Path) -> None:
-    """One that was writing its line gave way to a newcomer that found no place for an instant."""
+async def test_transient_accept_errors_displace_no_connection(tmp_path: Path) -> None:
+    """Guards against closing a client that is writing its opening when `accept` fails for a moment."""
     async with site(tmp_path) as here:
         for error in ("ENFILE", "ENOBUFS", "ENETDOWN"):
             slow = Peer(await anyio.connect_tcp("127.0.0.1", here.port))
@@ -54,7 +54,7 @@
 
 
 async def test_those_who_wait_at_an_address_that_is_given_up_are_served(tmp_path: Path) -> None:
-    """The last turn of accepting ended with the first call that failed; the others were reset unread."""
+    """Guards against resetting queued connections if `accept` fails during a change of the listen address."""
     for error, lost in (("ECONNABORTED", 4), ("EHOSTUNREACH", 0), ("ENFILE", 0)):
         directory = tmp_path / error
         directory.mkdir()
@@ -65,12 +65,12 @@
 
 
 async def _come_while_it_moves(here: Site, directory: Path, error: str) -> list[Peer]:
-    """Clients that connect and ask while the process stands still; when it goes on, it listens elsewhere."""
+    """Connect clients while the process is suspended; after resuming it listens on another address."""
     config = directory / "config.json"
-    told = json.loads(config.read_text())
+    contents = json.loads(config.read_text())
     with socket.create_server(("127.0.0.1", 0)) as free:
-        told["listen"] = f"127.0.0.1:{free.getsockname()[1]}"
-    config.write_text(json.dumps(told))
+        contents["listen"] = f"127.0.0.1:{free.getsockname()[1]}"
+    config.write_text(json.dumps(contents))
     process = here.running.process
     process.send_signal(signal.SIGSTOP)
     clients = []
@@ -87,27 +87,25 @@
 
 
 @pytest.mark.parametrize("call", ["connect", "socket"])
-async def test_a_lack_of_a_moment_does_not_hold_up_the_servers_news(call: str, tmp_path: Path) -> None:
-    """Each failed call for the list was followed by a pause of up to 3 s: five of them took 6 s and more."""
+async def test_a_transient_shortage_does_not_delay_list_updates(call: str, tmp_path: Path) -> None:
+    """Guards against the long pause that follows a failed discovery call."""
     rules = {"ask_within": 10_000.0}
-    async with site(tmp_path, count=3, discovery="subscribe", rules=rules) as here:
-        port = int(here.lists.address.rpartition(":")[2])
+    async with site(tmp_path, server_count=3, discovery="subscribe", rules=rules) as here:
+        port = int(here.discovery.address.rpartition(":")[2])
         fault = {"call": call, "errno": "ENOBUFS", "most": 5}
         here.plan.apply(0.0, {**fault, "port": port} if call == "connect" else fault)
         with anyio.fail_after(2.0):
-            await here.told("s-1", state="leaving")
+            await here.update_entry("s-1", state="leaving")
         with anyio.fail_after(6.0):
-            await here.told("s-2", state="leaving")
+            await here.update_entry("s-2", state="leaving")
         assert here.running.log_read.count(b"discovery failed") == 0
 
 
 @pytest.mark.parametrize(("call", "error"), [("socket", "ENOBUFS"), ("bind", "EADDRINUSE")])
-async def test_a_start_and_a_reload_wait_out_what_this_machine_lacks(
-    call: str, error: str, tmp_path: Path
-) -> None:
-    """Either ended with the first failure: a process did not start, a new configuration was never taken.
+async def test_a_start_and_a_reload_wait_out_local_shortages(call: str, error: str, tmp_path: Path) -> None:
+    """Guards against a start or a reload that fails with the first error.
 
-    The address is in use for as long as the process before takes to die.
+    The address is in use until the previous process has ended.
     """
     fault = {"call": call, "errno": error, "most": 3}
     async with site(tmp_path) as here:
@@ -115,10 +113,10 @@
         await here.running.wait_for_log(b"event=discovery version")
         assert await here.connect_many(3, "a") == {"UP": 3}
         config = tmp_path / "config.json"
-        told = json.loads(config.read_text())
+        contents = json.loads(config.read_text())
         with socket.create_server(("127.0.0.1", 0)) as free:
-            told["listen"] = f"127.0.0.1:{free.getsockname()[1]}"
-        config.write_text(json.dumps(told))
+            contents["listen"] = f"127.0.0.1:{free.getsockname()[1]}"
+        config.write_text(json.dumps(contents))
         here.plan.apply(0.0, fault)
         here.running.process.send_signal(signal.SIGHUP)
         with anyio.fail_after(3.0):
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -1,4 +1,4 @@
-"""Clauses of the operators' pages at their limit, on a real process; `docs/terms-audit.md` names each."""
+"""Limits of the protocol's terms, tested on a process. `docs/terms-audit.md` lists them."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 
 
 async def silent(peer: Peer) -> None:
-    """A server that takes openings and says nothing."""
+    """A server that reads openings and never answers."""
     while await peer.line() not in (b"FIN", b"RST"):
         pass
 
 
-async def ask(here: Site, job: str, figures: bytes) -> Peer:
-    """A client that has asked and waits."""
+async def ask(here: Site, request_id: str, figures: bytes) -> Peer:
+    """Connect a client and send its opening."""
     peer = Peer(await anyio.connect_tcp("127.0.0.1", here.port))
-    await peer.send_line(opening(job, figures))
+    await peer.send_line(opening(request_id, figures))
     return peer
 
 
@@ -40,37 +40,34 @@
 async def test_every_request_is_answered_before_the_kill_while_servers_hang(
     deadline: float, tmp_path: Path
 ) -> None:
-    """Half of the servers are silent from before SIGTERM to the kill, which comes as early as it may.
-
-    Those that stand are moved; those that ask before SIGTERM and for 0.4 s after it are answered.
-    """
+    """Half of the servers never answer. Established connections are moved, and new requests answered."""
     classes = [{"name": effect, "give_up": deadline, "repeat": effect, "window": 5e3} for effect in EFFECTS]
     answers: Counter[bytes] = Counter()
     lost: list[str] = []
-    async with site(tmp_path, count=2, own=[silent, silent], classes=classes) as here:
+    async with site(tmp_path, server_count=2, custom_servers=[silent, silent], classes=classes) as here:
         process = here.running.process
 
-        async def client(job: str, effect: str) -> None:
-            figures = f"c={effect},t=a,d={deadline:.0f},g={job}".encode()
-            peer = await ask(here, job, figures)
+        async def client(request_id: str, effect: str) -> None:
+            figures = f"c={effect},t=a,d={deadline:.0f},g={request_id}".encode()
+            peer = await ask(here, request_id, figures)
             first = (await peer.line()).split()[0]
             answers[first] += 1
             if first not in (b"UP", b"BUSY", b"ERR"):
-                lost.append(f"{job}: {first!r}")
+                lost.append(f"{request_id}: {first!r}")
             elif first == b"UP" and [await peer.line(), await peer.line()] != [b"MOVE\r\n", b"FIN"]:
-                lost.append(f"{job}: not moved")
+                lost.append(f"{request_id}: not moved")
             await peer.fin()
 
         async with anyio.create_task_group() as clients:
             for n in range(30):
                 clients.start_soon(client, f"a{n:x}", EFFECTS[n % 3])
                 await anyio.sleep(0.01)
-            told = anyio.current_time()
+            signalled_at = anyio.current_time()
             process.send_signal(signal.SIGTERM)
             for n in range(20):
-                await anyio.sleep_until(told + 0.02 * n)
+                await anyio.sleep_until(signalled_at + 0.02 * n)
                 clients.start_soon(client, f"b{n:x}", EFFECTS[n % 3])
-            await anyio.sleep_until(told + (deadline + 700.0) / 1_000.0)
+            await anyio.sleep_until(signalled_at + (deadline + 700.0) / 1_000.0)
             with contextlib.suppress(ProcessLookupError):
                 process.kill()
         assert lost == [] and sum(answers.values()) == 50
@@ -78,7 +75,7 @@
 
 
 async def test_ping_is_answered_before_there_is_a_list_and_over_and_over(tmp_path: Path) -> None:
-    async with site(tmp_path, listed="absent") as here:
+    async with site(tmp_path, discovery_mode="absent") as here:
         peer = Peer(await anyio.connect_tcp("127.0.0.1", here.port))
         for _ in range(50):
             await peer.send_line(b"PING")
@@ -93,7 +90,7 @@
 ) -> None:
     async with site(tmp_path) as here:
         await here.wait_stored()
-        here.lists.become(mode)
+        here.discovery.become(mode)
         with anyio.fail_after(6.0):
             await here.restart(0.0)
             peer = Peer(await anyio.connect_tcp("127.0.0.1", here.port))
@@ -104,7 +101,7 @@
 
 
 async def flooding(peer: Peer) -> None:
-    """A server that writes long lines as fast as they are taken."""
+    """A server that writes long lines without pause."""
     await peer.line()
     await peer.send_line(b"UP r1")
     with contextlib.suppress(anyio.BrokenResourceError):
@@ -113,10 +110,10 @@
 
 
 async def test_move_comes_between_two_lines_of_a_server_that_writes_on(tmp_path: Path) -> None:
-    """Also where the client has read nothing of them until then; one that never reads is cut off in time."""
-    async with site(tmp_path, count=0, own=[flooding]) as here:
+    """The client may be behind in reading; one that never reads is closed in time."""
+    async with site(tmp_path, server_count=0, custom_servers=[flooding]) as here:
         figures = b"c=price-lookup,t=a,d=2000,g=5c"
-        reading, late, never = [await ask(here, job, figures) for job in ("0a", "0b", "0c")]
+        reading, late, never = [await ask(here, request_id, figures) for request_id in ("0a", "0b", "0c")]
         for peer in (reading, late, never):
             assert await peer.line() == b"UP r1\r\n"
         for _ in range(200):
@@ -138,7 +135,7 @@
 
 
 async def ending(peer: Peer, how: str) -> None:
-    """A server that answers a line, and then ends the connection or forgets it."""
+    """A server that answers one line, then closes, resets or ignores the connection."""
     await peer.line()
     await peer.send_line(b"UP r1")
     await peer.stream.send(await peer.line())
@@ -149,17 +146,18 @@
 
 
 @pytest.mark.parametrize(
-    ("how", "within", "told"), [("close", 1.0, b"FIN"), ("reset", 1.0, b"RST"), ("forget", 7.0, b"MOVE\r\n")]
+    ("how", "within", "expected"),
+    [("close", 1.0, b"FIN"), ("reset", 1.0, b"RST"), ("forget", 7.0, b"MOVE\r\n")],
 )
 async def test_a_connection_that_its_server_ends_or_forgets_is_ended_in_time(
-    how: str, within: float, told: bytes, tmp_path: Path
+    how: str, within: float, expected: bytes, tmp_path: Path
 ) -> None:
-    """Its client sends a line every 2 s, as clients do: the first after the server had forgotten it."""
+    """The client sends a line every 2 s."""
 
     async def server(peer: Peer) -> None:
         await ending(peer, how)
 
-    async with site(tmp_path, count=0, own=[server]) as here:
+    async with site(tmp_path, server_count=0, custom_servers=[server]) as here:
         client = await ask(here, "0a", b"c=price-lookup,t=a,d=2000,g=5c")
         assert await client.line() == b"UP r1\r\n"
         await client.send_line(b"one")
@@ -174,13 +172,13 @@
 
             tasks.start_soon(send_on)
             with anyio.fail_after(within):
-                assert await client.line() == told
+                assert await client.line() == expected
             tasks.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize("first", [b"nonsense", b"OPEN 0a 7f3a c=none,t=a,d=2000,g=5c"])
 async def test_nothing_that_comes_behind_the_last_answer_is_forwarded(first: bytes, tmp_path: Path) -> None:
-    """Nor while the process ends: a request that is read after the shutdown and forwarded is lost."""
+    """Guards against forwarding a request while the process shuts down, which would lose it."""
     async with site(tmp_path) as here:
         rested = Peer(await anyio.connect_tcp("127.0.0.1", here.port))
         await rested.send_line(b"PING")
@@ -202,21 +200,23 @@
 async def test_new_configurations_in_quick_succession_move_discovery_in_four_seconds(
     mode: str, tmp_path: Path
 ) -> None:
-    """Five of them 20 ms apart: a hung discovery, half a file, and the last, which answers after 3 s."""
+    """Five reloads 20 ms apart: a hanging discovery, a truncated file, and one that answers after 3 s."""
     async with site(tmp_path, discovery="subscribe") as here:
         config = tmp_path / "config.json"
-        told = json.loads(config.read_text())
+        contents = json.loads(config.read_text())
         clock = Clock()
         async with anyio.create_task_group() as tasks:
             hung, last = [Discovery(clock, Trace(clock.now), tasks) for _ in range(2)]
             last.registry.entries = {
-                ident: dict(entry) for ident, entry in here.lists.registry.entries.items()
+                ident: dict(entry) for ident, entry in here.discovery.registry.entries.items()
             }
-            last.registry.changed = dict(here.lists.registry.changed)
+            last.registry.changed = dict(here.discovery.registry.changed)
             last.registry.put("s-1", state="leaving")
             hung.become("hung")
             last.become(mode)
-            texts = [json.dumps({**told, "discovery": place.address}) for place in (hung, last, hung, last)]
+            texts = [
+                json.dumps({**contents, "discovery": place.address}) for place in (hung, last, hung, last)
+            ]
             for text in (texts[0], texts[1], texts[2], texts[3][:99], texts[3]):
                 fresh = config.with_suffix(".new")
                 fresh.write_text(text)
@@ -230,43 +230,41 @@
             tasks.cancel_scope.cancel()
 
 
-NUMBERS = ["settings.classes.0.give_up", "settings.rules.ramp_time", "settings.balancers"]
+NUMBER_SETTINGS = ["settings.classes.0.give_up", "settings.rules.ramp_time", "settings.balancers"]
 
 
 @pytest.mark.parametrize(
     ("beyond", "places"),
-    [(10**400, NUMBERS), (float("inf"), [*NUMBERS, "seed"])],
+    [(10**400, NUMBER_SETTINGS), (float("inf"), [*NUMBER_SETTINGS, "seed"])],
     ids=["a huge number", "infinity"],
 )
 async def test_a_configuration_with_a_number_beyond_all_is_not_taken(
     beyond: float, places: list[str], tmp_path: Path
 ) -> None:
-    """SIGHUP with a whole number that no float can hold ended the process; a seed may be as long."""
+    """Guards against SIGHUP ending the process over a number too large for a float, except for a seed."""
     async with site(tmp_path) as here:
         config = tmp_path / "config.json"
         sound = config.read_text()
         for place in places:
-            told = json.loads(sound)
+            contents = json.loads(sound)
             *path, last = place.split(".")
-            inner = told
+            parent = contents
             for name in path:
-                inner = inner[int(name)] if name.isdigit() else inner[name]
-            inner[last] = beyond
-            config.write_text(json.dumps(told))
+                parent = parent[int(name)] if name.isdigit() else parent[name]
+            parent[last] = beyond
+            config.write_text(json.dumps(contents))
             here.running.process.send_signal(signal.SIGHUP)
             with anyio.fail_after(5.0):
                 await here.running.wait_for_log(b'event="reload failed"')
             assert await here.connect_many(1, place) == {"UP": 1}
 
 
-COLD_BUDGET = (
-    8  # what a cold server may get in a second: 1.7 allowed at its start, with 3 x root + 3 for chance
-)
+COLD_BUDGET = 8  # connections per second: 1.7 on average at its start, plus random variation
 
 
 async def test_a_server_whose_cordon_is_taken_back_is_cold_for_every_client(tmp_path: Path) -> None:
-    """Operators restart it meanwhile; no list tells of that, and sixty clients come within the second."""
-    async with site(tmp_path, count=3) as here:
+    """The server may have been restarted while cordoned, without a change of its entry."""
+    async with site(tmp_path, server_count=3) as here:
         found = re.search(rb"event=serving .*front=management .*:(\d+)", here.running.log_read)
         assert found is not None
         address = int(found[1])
@@ -280,45 +278,47 @@
         back = anyio.current_time()
         while anyio.current_time() < back + 0.9:
             assert (await here.connect_many(1, f"c{sum(here.openings.values())}-"))["UP"] == 1
-            await anyio.sleep(0.01)  # the log of thousands would fill its pipe, which nobody reads here
+            await anyio.sleep(0.01)  # limits the log, whose pipe is not read here
         assert 0 <= here.openings["s-1"] - out <= COLD_BUDGET
-        with anyio.fail_after(5.0):  # unused for 5 s after the call back costs
+        with anyio.fail_after(5.0):
             while here.openings["s-1"] == out:
                 await here.connect_many(1, f"d{sum(here.openings.values())}-")
                 await anyio.sleep(0.01)
 
 
-SERVERS_MOST = 3_200
-READY = 6.0  # seconds, of the shorter days; no start may take over 30
+MAX_SERVERS = 3_200
+READY_S = 6.0
 
 
 async def test_a_process_starts_in_time_among_as_many_servers_as_there_may_be(tmp_path: Path) -> None:
-    """From nothing and from its store; its loop is never busy for long."""
+    """Starts without and with a store, without long stalls of the event loop."""
     async with site(tmp_path) as here:
-        for number in range(SERVERS_MOST - 2):
-            # Draining, so that its clients come to the two that are there.
-            here.lists.registry.put(f"x-{number}", addr="127.0.0.1:9", state="leaving")
+        for number in range(MAX_SERVERS - 2):
+            # Draining, so that clients are sent to the two real servers.
+            here.discovery.registry.put(f"x-{number}", addr="127.0.0.1:9", state="leaving")
         for _ in range(2):
             await here.restart(0.0)
-            with anyio.fail_after(READY):
+            with anyio.fail_after(READY_S):
                 while (await here.connect_many(1, f"{anyio.current_time()}-"))["UP"] < 1:
                     await anyio.sleep(0.05)
             await here.running.wait_for_log(b"event=servers")
             await here.wait_stored()
-        assert not re.search(rb"event=stalled ms=(\d{4,})", here.running.log_read), "a second and more"
+        assert not re.search(rb"event=stalled ms=(\d{4,})", here.running.log_read), (
+            "stalled for a second or more"
+        )
 
 
-async def test_a_drain_grace_of_a_second_is_kept_from_the_moment_it_is_told(tmp_path: Path) -> None:
-    """Another customer's settings; clients come all the while."""
+async def test_a_drain_grace_of_a_second_is_kept_from_the_moment_it_is_announced(tmp_path: Path) -> None:
+    """Clients connect throughout the grace period."""
     rules = {**SETTINGS["rules"], "stop_sending_within": 1_000.0}
-    async with site(tmp_path, count=3, rules=rules) as here:
+    async with site(tmp_path, server_count=3, rules=rules) as here:
         await here.connect_many(30, "a")
         for ident in ("s-1", "s-2"):
-            here.lists.put(ident, state="leaving")
-            told = anyio.current_time()
-            while anyio.current_time() < told + 1.0:
+            here.discovery.put(ident, state="leaving")
+            announced_at = anyio.current_time()
+            while anyio.current_time() < announced_at + 1.0:
                 await here.connect_many(1, f"{ident}-{anyio.current_time()}-")
-                await anyio.sleep(0.02)  # as above
-            late = here.openings[ident]
+                await anyio.sleep(0.02)  # limits the log
+            connections = here.openings[ident]
             assert (await here.connect_many(40, f"{ident}-late-"))["UP"] == 40
-            assert here.openings[ident] == late
+            assert here.openings[ident] == connections
