--- a/puffinford/core/clock.py
+++ b/puffinford/core/clock.py
@@ -17,6 +17,7 @@
         self._offset = time.time() * 1000.0 - time.monotonic() * 1000.0
 
     def now(self) -> float:
+        """Current time in ms."""
         return time.monotonic() * 1000.0 + self._offset
 
     @property
@@ -29,6 +30,7 @@
         return time.time() * 1000.0 - self.now()
 
     async def sleep(self, ms: float) -> None:
+        """Sleep for `ms`, or yield once if it is not positive."""
         await anyio.sleep(max(0.0, ms) / 1000.0)
 
     def limit(self, ms: float) -> AbstractContextManager[anyio.CancelScope]:
@@ -60,6 +62,7 @@
         return len(self._heap)
 
     def advance(self, ms: float) -> None:
+        """Advance the clock, and end the sleeps and limits that are due."""
         self._now += ms
         while self._heap and self._heap[0][0] <= self._now:
             heapq.heappop(self._heap)[2]()
--- a/puffinford/core/counters.py
+++ b/puffinford/core/counters.py
@@ -27,7 +27,9 @@
             self._counts.setdefault(cls, dict.fromkeys(Count, 0))
 
     def add(self, cls: str, count: Count) -> None:
+        """Increment a counter of a registered class."""
         self._counts[cls][count] += 1
 
     def counts(self) -> Iterable[tuple[str, Count, int]]:
+        """All counters as (class, count, value)."""
         return [(cls, count, n) for cls, counts in self._counts.items() for count, n in counts.items()]
--- a/puffinford/core/delays.py
+++ b/puffinford/core/delays.py
@@ -18,6 +18,7 @@
         self._heard = 0.0
 
     def sent(self, now: float) -> None:
+        """Record a line sent to the server."""
         self._sent.append(now)
 
     def heard(self, now: float) -> None:
@@ -56,6 +57,7 @@
         self._slow_servers: set[str] = set()
 
     def sample(self, server: str, delay: float) -> None:
+        """Add a measured delay in ms."""
         self._samples.setdefault(server, []).append(delay)
 
     def finish_round(self, waiting: Iterable[tuple[str, float]]) -> list[tuple[str, float]]:
--- a/puffinford/core/requests.py
+++ b/puffinford/core/requests.py
@@ -42,6 +42,7 @@
 
     @property
     def id(self) -> str:
+        """The client's id of the request."""
         return self.opening.request_id
 
     @property
@@ -51,6 +52,7 @@
 
     @property
     def is_established(self) -> bool:
+        """Whether the server's connection is open and the request not completed."""
         return self.completion is None and self.attempt is not None and self.attempt.connection is not None
 
 
--- a/puffinford/core/servers.py
+++ b/puffinford/core/servers.py
@@ -29,9 +29,11 @@
 
     @property
     def ids(self) -> Set[str]:
+        """Ids of the listed servers."""
         return self._entries.keys()
 
     def get(self, server_id: str) -> ServerEntry | None:
+        """The entry of a listed server, or None."""
         return self._entries.get(server_id)
 
     @property
--- a/puffinford/core/values.py
+++ b/puffinford/core/values.py
@@ -252,9 +252,13 @@
 class ServerListSource(Protocol):
     """A source of server lists. It passes each list to `Exchange.take_list`."""
 
-    def subscribe(self, on: bool) -> None: ...
+    def subscribe(self, on: bool) -> None:
+        """Start or stop watching for changes."""
+        ...
 
-    def fetch(self) -> None: ...
+    def fetch(self) -> None:
+        """Request the list once."""
+        ...
 
     def refresh(self) -> bool:
         """Request changes now, even if a call is in progress; return whether an answer may follow."""
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -29,10 +29,10 @@
         pass
 
 
-async def ask(here: Site, request_id: str, figures: bytes) -> Peer:
+async def ask(here: Site, request_id: str, parameters: bytes) -> Peer:
     """Connect a client and send its opening."""
     peer = Peer(await anyio.connect_tcp("127.0.0.1", here.port))
-    await peer.send_line(opening(request_id, figures))
+    await peer.send_line(opening(request_id, parameters))
     return peer
 
 
@@ -48,8 +48,8 @@
         process = here.running.process
 
         async def client(request_id: str, effect: str) -> None:
-            figures = f"c={effect},t=a,d={deadline:.0f},g={request_id}".encode()
-            peer = await ask(here, request_id, figures)
+            parameters = f"c={effect},t=a,d={deadline:.0f},g={request_id}".encode()
+            peer = await ask(here, request_id, parameters)
             first = (await peer.line()).split()[0]
             answers[first] += 1
             if first not in (b"UP", b"BUSY", b"ERR"):
@@ -112,8 +112,8 @@
 async def test_move_comes_between_two_lines_of_a_server_that_writes_on(tmp_path: Path) -> None:
     """The client may be behind in reading; one that never reads is closed in time."""
     async with site(tmp_path, server_count=0, custom_servers=[flooding]) as here:
-        figures = b"c=price-lookup,t=a,d=2000,g=5c"
-        reading, late, never = [await ask(here, request_id, figures) for request_id in ("0a", "0b", "0c")]
+        parameters = b"c=price-lookup,t=a,d=2000,g=5c"
+        reading, late, never = [await ask(here, request_id, parameters) for request_id in ("0a", "0b", "0c")]
         for peer in (reading, late, never):
             assert await peer.line() == b"UP r1\r\n"
         for _ in range(200):
