--- a/tests/test_staleness.py
+++ b/tests/test_staleness.py
@@ -126,11 +126,11 @@
         self.here = here
         self.pushed, self.seed = pushed, seed
 
-    def take(self, machines: ServerEntries | None) -> int | None:
-        if machines is None:
+    def take(self, entries: ServerEntries | None) -> int | None:
+        if entries is None:
             self.exchange.take_list(None)
             return self.guard.version
-        taken = self.guard.judge(machines)
+        taken = self.guard.judge(entries)
         if taken.entries is not None:
             self.exchange.take_list(taken.entries)
         return taken.version
--- a/tests/test_stall.py
+++ b/tests/test_stall.py
@@ -79,10 +79,10 @@
     taken: list[ServerEntries | None] = []
     heard = anyio.Event()
 
-    def take(machines: ServerEntries | None) -> int | None:
-        taken.append(machines)
+    def take(entries: ServerEntries | None) -> int | None:
+        taken.append(entries)
         heard.set()
-        return machines.version if machines else 1
+        return entries.version if entries else 1
 
     clock = SettableClock()
     async with harness() as here:
