--- a/benchmarks/scale/kept_runs.py
+++ b/benchmarks/scale/kept_runs.py
@@ -7,7 +7,7 @@
 from statistics import fmean
 
 from benchmarks.scale.records import SCHEMA, Provenance, RunResults, ScaleRun, Told, read, write
-from puffinford.scale import told
+from puffinford.scale import propagation
 from puffinford.scale.outcome import BalancerLoad, RunOutcome
 
 
@@ -28,12 +28,12 @@
         held=outcome.held,
         service_ms=outcome.service_ms,
         source_calls=lists.calls,
-        source_calls_per_s=lists.calls_a_second,
-        source_calls_peak=lists.calls_peak,
-        source_bytes_per_s=round((lists.sent + lists.received) / outcome.seconds, 1),
+        source_calls_per_s=lists.calls_per_s,
+        source_calls_peak=lists.peak_calls_per_s,
+        source_bytes_per_s=round((lists.sent_bytes + lists.received_bytes) / outcome.seconds, 1),
         source_core_pct=lists.cpu_percent,
-        told_hollow=_told(outcome.hollow_told),
-        told_real=_told(outcome.real_told),
+        told_hollow=_told(outcome.hollow_propagation),
+        told_real=_told(outcome.real_propagation),
         calls_per_balancer_s=calls,
         bytes_per_balancer_s=size,
         hollow_core_pct=hollow.cpu_percent,
@@ -43,19 +43,19 @@
         relay_core_pct=_mean([relay.cpu_percent for relay in outcome.relay_load]),
         relay_core_pct_most=max((relay.cpu_percent for relay in outcome.relay_load), default=0.0),
         relay_mib=_mean([relay.resident_mib for relay in outcome.relay_load]),
-        relay_bytes_per_s=_mean([relay.sent_a_second or 0.0 for relay in outcome.relay_load]),
+        relay_bytes_per_s=_mean([relay.sent_bytes_per_s or 0.0 for relay in outcome.relay_load]),
         clients_per_balancer_s=outcome.rate,
         placed_hollow=hollow.placed,
-        queue_most=lists.queue_most,
-        connections_reset=lists.broken,
+        queue_most=lists.max_queued_calls,
+        connections_reset=lists.reset_connections,
         restarts=outcome.restarts,
         late_p99_s=round(outcome.lateness.p99_ms / 1_000.0, 4),
-        lost_part=outcome.lateness.lost_part,
+        lost_part=outcome.lateness.lost_fraction,
         hollow_gib=round(outcome.resident_mib / 1_024.0, 2),
     )
 
 
-def _told(seen: told.Told) -> Told:
+def _told(seen: propagation.PropagationStats) -> Told:
     return Told(
         seen.balancers,
         seen.changes,
@@ -69,11 +69,11 @@
 def _per_balancer(outcome: RunOutcome) -> tuple[float, float]:
     """Calls and bytes a second; behind relays their answers alone, and 0 where they logged too little."""
     load: BalancerLoad = outcome.hollow_load
-    if load.calls_a_second is not None and load.bytes_a_second is not None:
-        return load.calls_a_second, load.bytes_a_second
+    if load.calls_per_s is not None and load.bytes_per_s is not None:
+        return load.calls_per_s, load.bytes_per_s
     balancers = outcome.hollow + outcome.real
-    calls = sum(relay.calls_a_second or 0.0 for relay in outcome.relay_load)
-    sent = sum(relay.sent_a_second or 0.0 for relay in outcome.relay_load)
+    calls = sum(relay.calls_per_s or 0.0 for relay in outcome.relay_load)
+    sent = sum(relay.sent_bytes_per_s or 0.0 for relay in outcome.relay_load)
     return round(calls / balancers, 4), round(sent / balancers, 1)
 
 
--- a/benchmarks/scale/runs.py
+++ b/benchmarks/scale/runs.py
@@ -19,16 +19,16 @@
 
 from benchmarks.scale.kept_runs import keep, record
 from benchmarks.scale.records import RUNS, BadRecord, Provenance, RunResults, now_utc, read, this_machine
-from puffinford.scale.messages import Crowd, Skip
+from puffinford.scale.messages import ClientWorkload, Skip
 from puffinford.scale.outcome import RunOutcome
 from puffinford.scale.plan import RunPlan
-from puffinford.scale.run import NotHeld, Run
-from puffinford.scale.stories import DIRECT, FULL, STORIES, WITH_RELAYS, story
+from puffinford.scale.run import Run, SizeNotHeld
+from puffinford.scale.stories import DIRECT, FULL_SPAN_S, STORIES, WITH_RELAYS, story
 from puffinford.text_table import format_table
 
 TWINS = 8  # hollow and as many real balancers that have to agree
 TWIN_SPAN = 12.0  # seconds
-TWIN_CROWD = Crowd(rate=2.0, life_ms=4_000.0)
+TWIN_CROWD = ClientWorkload(rate=2.0, life_ms=4_000.0)
 HEADS = (
     "story", "hollow", "real", "told p50", "p99", "last", "missed", "real p99", "last", "missed", "calls/s",
     "peak", "queue", "list cpu %", "hollow cpu %", "B/s", "KiB", "late p99", "lost",
@@ -44,7 +44,7 @@
         real=TWINS,
         seed=seed,
         crowd=TWIN_CROWD,
-        twins=True,
+        paired=True,
         skip=skip,
     )
 
@@ -63,13 +63,14 @@
 
 def row(run: RunOutcome) -> tuple[object, ...]:
     """A run as a line of the table."""
-    ours, theirs, load = run.hollow_told, run.real_told, run.hollow_load
+    ours, theirs, load = run.hollow_propagation, run.real_propagation, run.hollow_load
     lists, late = run.list_service, run.lateness
-    size = "-" if load.bytes_a_second is None else f"{load.bytes_a_second:.0f}"
+    size = "-" if load.bytes_per_s is None else f"{load.bytes_per_s:.0f}"
     return (
         run.story, run.hollow, run.real, ours.p50_ms, ours.p99_ms, ours.last_ms, ours.missed, theirs.p99_ms,
-        theirs.last_ms, theirs.missed, lists.calls_a_second, lists.calls_peak, lists.queue_most,
-        lists.cpu_percent, f"{load.cpu_percent:.3f}", size, load.resident_kib, late.p99_ms, late.lost_part,
+        theirs.last_ms, theirs.missed, lists.calls_per_s, lists.peak_calls_per_s, lists.max_queued_calls,
+        lists.cpu_percent, f"{load.cpu_percent:.3f}", size, load.resident_kib, late.p99_ms,
+        late.lost_fraction,
     )  # fmt: skip
 
 
@@ -80,10 +81,10 @@
         name = run.story.replace("-", "_")
         pieces += [
             f"{name}_held={int(run.held)}",
-            f"{name}_p99_ms={run.hollow_told.p99_ms:.0f}",
-            f"{name}_last_ms={run.hollow_told.last_ms:.0f}",
-            f"{name}_missed={run.hollow_told.missed + run.real_told.missed}",
-            f"{name}_calls_a_second={run.list_service.calls_a_second:.0f}",
+            f"{name}_p99_ms={run.hollow_propagation.p99_ms:.0f}",
+            f"{name}_last_ms={run.hollow_propagation.last_ms:.0f}",
+            f"{name}_missed={run.hollow_propagation.missed + run.real_propagation.missed}",
+            f"{name}_calls_a_second={run.list_service.calls_per_s:.0f}",
         ]
     return "bench scale-runs " + " ".join(pieces)
 
@@ -97,7 +98,7 @@
 @click.option("--servers", default=100, show_default=True)
 @click.option("--service-ms", default=0.0, show_default=True, help="what a call takes at the list service")
 @click.option("--rate", default=0.05, show_default=True, help="arrivals a second at each balancer")
-@click.option("--span", default=FULL, show_default=True, help="seconds of a story")
+@click.option("--span", default=FULL_SPAN_S, show_default=True, help="seconds of a story")
 @click.option("--seed", default=1, show_default=True)
 @click.option("--agreement/--no-agreement", default=True, show_default=True, help="compare first")
 @click.option("--results", type=click.Path(path_type=Path), default=RUNS, show_default=True)
@@ -128,7 +129,7 @@
         servers=servers,
         service_ms=service_ms,
         seed=seed,
-        crowd=Crowd(rate=rate),
+        crowd=ClientWorkload(rate=rate),
     )
     chosen = list(names)
     if "all" in names:
@@ -147,8 +148,8 @@
             if name in WITH_RELAYS and not relays:
                 raise click.UsageError(f"{name} needs --relays")
             runs.append(play(replace(plan, story=story(name, span))))
-            click.echo(f"{name}: {runs[-1].why or 'held'}", err=True)
-    except NotHeld as exc:
+            click.echo(f"{name}: {runs[-1].reason or 'held'}", err=True)
+    except SizeNotHeld as exc:
         _say(runs, disagreements)
         click.echo(f"size not held: {exc}", err=True)
         sys.exit(2)
@@ -163,7 +164,7 @@
     run = play(twins(seed))
     runs.append(run)
     for found in run.disagreements:
-        click.echo(f"{found.figure}: hollow {found.hollow}, real {found.real}, bound {found.bound}", err=True)
+        click.echo(f"{found.metric}: hollow {found.hollow}, real {found.real}, bound {found.bound}", err=True)
     if run.disagreements:
         _say(runs, len(run.disagreements))
         sys.exit(1)
--- a/puffinford/scale/agreement.py
+++ b/puffinford/scale/agreement.py
@@ -11,16 +11,16 @@
 
 import msgspec
 
-from puffinford.scale.told import Told
+from puffinford.scale.propagation import PropagationStats
 
 
 @dataclass(frozen=True)
-class Observed:
+class KindObservation:
     """What balancers of one kind came to; calls, bytes and lists are means a balancer."""
 
     calls: float
     sent: float  # bytes of answers
-    told: Told
+    told: PropagationStats
     placed: Mapping[int, Mapping[str, int]] = field(default_factory=dict)  # by balancer, by server
 
 
@@ -39,13 +39,15 @@
 class Disagreement(msgspec.Struct, frozen=True):
     """A figure in which they differ by more than its bound."""
 
-    figure: str
+    metric: str
     hollow: float
     real: float
     bound: float
 
 
-def disagreements(hollow: Observed, real: Observed, bounds: Bounds | None = None) -> list[Disagreement]:
+def disagreements(
+    hollow: KindObservation, real: KindObservation, bounds: Bounds | None = None
+) -> list[Disagreement]:
     """All figures out of bounds; none where they agree."""
     bounds = bounds or Bounds()
     judged = [
@@ -59,8 +61,8 @@
         ("placed elsewhere", elsewhere(hollow.placed, real.placed), 0.0, bounds.placed),
     ]
     return [
-        Disagreement(figure, round(ours, 3), round(theirs, 3), round(bound, 3))
-        for figure, ours, theirs, bound in judged
+        Disagreement(metric, round(ours, 3), round(theirs, 3), round(bound, 3))
+        for metric, ours, theirs, bound in judged
         if abs(ours - theirs) > bound
     ]
 
@@ -76,5 +78,5 @@
     return differ / total if total else 0.0
 
 
-def _total(observed: Observed) -> float:
+def _total(observed: KindObservation) -> float:
     return float(sum(sum(counts.values()) for counts in observed.placed.values()))
--- a/puffinford/scale/arrivals.py
+++ b/puffinford/scale/arrivals.py
@@ -9,13 +9,13 @@
 
 from puffinford.core.clock import Clock
 from puffinford.core.values import Opening
-from puffinford.scale.messages import Crowd
+from puffinford.scale.messages import ClientWorkload
 
 REJOIN = (140.0, 1_100.0)  # ms after which a client that was moved or cut off comes back
 RETURNS_MOST = 3  # times that it does
 
 
-class Outcome(Enum):
+class ConnectionOutcome(Enum):
     """What became of one connection."""
 
     DONE = "done"  # the client ended it
@@ -35,10 +35,12 @@
     rejoin: float
 
 
-Connect = Callable[[Opening, float], Awaitable[Outcome]]  # an opening, and how long it stays at most, in ms
+Connect = Callable[
+    [Opening, float], Awaitable[ConnectionOutcome]
+]  # an opening, and how long it stays at most, in ms
 
 
-def arrivals(crowd: Crowd, seed: int, me: int) -> Iterator[Arrival]:
+def arrivals(crowd: ClientWorkload, seed: int, me: int) -> Iterator[Arrival]:
     """The clients of one balancer, without end; the same ones each time."""
     rng = random.Random(f"{seed} {me}")
     after = 0.0
@@ -48,7 +50,7 @@
         yield Arrival(after, key, group, rng.expovariate(1.0 / crowd.life_ms), rng.uniform(*REJOIN))
 
 
-def opening(arrival: Arrival, crowd: Crowd, me: int, returns: int) -> Opening:
+def opening(arrival: Arrival, crowd: ClientWorkload, me: int, returns: int) -> Opening:
     """What a client asks for, the first time or when it is back."""
     figures: list[tuple[str, str | None]] = [
         ("c", crowd.cls),
@@ -60,7 +62,7 @@
     return Opening.from_parameters(f"{me:04x}{arrival.key}{returns:x}", arrival.key, tuple(figures))
 
 
-async def live(arrival: Arrival, crowd: Crowd, me: int, clock: Clock, connect: Connect) -> None:
+async def live(arrival: Arrival, crowd: ClientWorkload, me: int, clock: Clock, connect: Connect) -> None:
     """One client from its first opening until it is done, was turned away, or has come back often enough."""
     end = clock.now() + arrival.life
     for returns in range(RETURNS_MOST + 1):
@@ -68,6 +70,6 @@
         if left <= 0.0:
             return
         outcome = await connect(opening(arrival, crowd, me, returns), left)
-        if outcome in (Outcome.DONE, Outcome.REFUSED):
+        if outcome in (ConnectionOutcome.DONE, ConnectionOutcome.REFUSED):
             return
         await clock.sleep(arrival.rejoin)
--- a/puffinford/scale/distribution.py
+++ b/puffinford/scale/distribution.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Protocol
 
-from puffinford.scale.channel import cpu_seconds, resident
+from puffinford.scale.pipes import cpu_seconds, resident
 from puffinford.standins.balancer import free_port
 from puffinford.standins.listeners import HOST
 
@@ -31,7 +31,7 @@
     sent: float
 
 
-class NotDistributed(Exception):
+class RelayNotListening(Exception):
     """A relay does not run as it should; the text says which and where its log is."""
 
 
@@ -52,7 +52,7 @@
         """End what was started."""
 
 
-class Direct:
+class DirectDistribution:
     """Each balancer watches the list service itself."""
 
     name = "direct"
@@ -110,7 +110,7 @@
                 if sock.connect_ex((HOST, self.port)) == 0:
                     return
             time.sleep(0.02)
-        raise NotDistributed(f"{self.name} does not listen; see {self.log}")
+        raise RelayNotListening(f"{self.name} does not listen; see {self.log}")
 
     def signal(self, signum: int) -> None:
         """Send the process a signal, where it runs."""
@@ -145,7 +145,7 @@
         return resident(self._process.pid) if self._process is not None and self.running else 0
 
 
-class Relayed:
+class RelayDistribution:
     """Relays watch the list service, and balancers watch relays."""
 
     name = "relays"
@@ -171,4 +171,4 @@
 
 def distribution(relays: int, directory: Path) -> Distribution:
     """Through so many relays; 0: straight from the list service."""
-    return Relayed(relays, directory) if relays else Direct()
+    return RelayDistribution(relays, directory) if relays else DirectDistribution()
--- a/puffinford/scale/hollow.py
+++ b/puffinford/scale/hollow_balancer.py
@@ -19,9 +19,9 @@
 from puffinford.core.values import Opening, ServerEntries
 from puffinford.interface import Settings
 from puffinford.operators import OperatorSettings
-from puffinford.scale.arrivals import Arrival, Outcome, arrivals, live
-from puffinford.scale.messages import Crowd, HollowSpec, Skip
-from puffinford.scale.sides import HollowClient, HollowServers
+from puffinford.scale.arrivals import Arrival, ConnectionOutcome, arrivals, live
+from puffinford.scale.hollow_connections import HollowClientConnection, HollowServerConnector
+from puffinford.scale.messages import ClientWorkload, HollowSpec, Skip
 from puffinford.server_list.endpoints import rendezvous_order
 from puffinford.server_list.entries import parse_address
 from puffinford.state import recovery
@@ -100,7 +100,7 @@
         self._clock = clock
         self._totals = totals
         seed = balancer_seed(spec.seed, me)
-        self._servers = HollowServers(clock, random.Random(seed), spec.set_up_ms, spec.dead)
+        self._servers = HollowServerConnector(clock, random.Random(seed), spec.set_up_ms, spec.dead)
         sides = {"lines": self._servers, "channels": self._servers}
         self._exchange = Exchange(settings, seed, clock, sides)
         placed = totals.placed.setdefault(me, Counter())
@@ -140,16 +140,16 @@
                 await self._clock.sleep(due - self._clock.now())
                 tasks.start_soon(self._live, arrival, crowd)
 
-    async def _live(self, arrival: Arrival, crowd: Crowd) -> None:
+    async def _live(self, arrival: Arrival, crowd: ClientWorkload) -> None:
         await live(arrival, crowd, self._me, self._clock, self._connect)
 
-    async def _connect(self, opening: Opening, life: float) -> Outcome:
+    async def _connect(self, opening: Opening, life: float) -> ConnectionOutcome:
         if self._spec.skip is Skip.PLACING:
-            return Outcome.REFUSED
-        client = HollowClient(self._clock, life)
+            return ConnectionOutcome.REFUSED
+        client = HollowClientConnection(self._clock, life)
         await self._exchange.serve(opening, client)
-        self._totals.refused += client.outcome is Outcome.REFUSED
-        self._totals.moved += client.outcome is Outcome.MOVED
+        self._totals.refused += client.outcome is ConnectionOutcome.REFUSED
+        self._totals.moved += client.outcome is ConnectionOutcome.MOVED
         return client.outcome
 
 
--- a/puffinford/scale/sides.py
+++ b/puffinford/scale/hollow_connections.py
@@ -20,10 +20,10 @@
     Up,
 )
 from puffinford.interface import Result
-from puffinford.scale.arrivals import Outcome
+from puffinford.scale.arrivals import ConnectionOutcome
 
 
-class HollowLeg:
+class HollowServerConnection:
     """A server's connection that says nothing until the client has ended its side."""
 
     __slots__ = ("_ended",)
@@ -48,7 +48,7 @@
         self._ended.set()
 
 
-class HollowServers:
+class HollowServerConnector:
     """A server side without sockets: an attempt comes up after a drawn delay, or fails at a dead server."""
 
     def __init__(
@@ -76,19 +76,19 @@
         await self._clock.sleep(min(delay, wait))
         if delay > wait:
             raise AttemptEnded(Result.TIMEOUT)
-        return HollowLeg(), Up(f"r-{opening.request_id}")
+        return HollowServerConnection(), Up(f"r-{opening.request_id}")
 
     async def probe(self, entry: ServerEntry, wait: float, load: bool) -> tuple[Result, str]:
         return (Result.CONNECT_FAILED if entry.server.id in self._dead else Result.OK), ""
 
 
-class HollowClient:
+class HollowClientConnection:
     """A client that arrives as the exchange's own event, stays for its life and sends nothing."""
 
     __slots__ = ("_clock", "_life", "_up", "outcome")
 
     def __init__(self, clock: Clock, life: float) -> None:
-        self.outcome = Outcome.BROKEN
+        self.outcome = ConnectionOutcome.BROKEN
         self._clock = clock
         self._life = life
         self._up = anyio.Event()
@@ -96,7 +96,7 @@
     async def receive(self) -> Message:
         await self._up.wait()
         await self._clock.sleep(self._life)
-        self.outcome = Outcome.DONE
+        self.outcome = ConnectionOutcome.DONE
         raise PeerClosed
 
     async def send(self, message: Message) -> None:
@@ -109,10 +109,10 @@
         if isinstance(answer, Up):
             self._up.set()
         else:
-            self.outcome = Outcome.REFUSED
+            self.outcome = ConnectionOutcome.REFUSED
 
     async def move(self) -> None:
-        self.outcome = Outcome.MOVED
+        self.outcome = ConnectionOutcome.MOVED
 
     async def end_sending(self) -> None:
         """There is no connection."""
--- a/puffinford/scale/process.py
+++ b/puffinford/scale/hollow_process.py
@@ -1,4 +1,4 @@
-"""A process of many hollow balancers: `python -m puffinford.scale.process`, started by the driver.
+"""A process of many hollow balancers: `python -m puffinford.scale.hollow_process`, started by the driver.
 
 The first line of standard input is its `HollowSpec`; further lines are commands. What is to be told goes to
 standard output. It ends with its input.
@@ -21,8 +21,7 @@
 from puffinford.codec import decode_settings
 from puffinford.logs import set_up
 from puffinford.operators import OperatorSettings, load_settings
-from puffinford.scale.channel import lines_from, resident, tell
-from puffinford.scale.hollow import HollowBalancer, HollowTotals
+from puffinford.scale.hollow_balancer import HollowBalancer, HollowTotals
 from puffinford.scale.messages import (
     Begin,
     Finish,
@@ -34,6 +33,7 @@
     ToHollow,
     decode,
 )
+from puffinford.scale.pipes import lines_from, resident, tell
 from puffinford.scale.shared_clock import SharedClock
 
 TELL_EVERY = 200.0  # ms between batches of versions that came into force
--- a/puffinford/scale/list_process.py
+++ b/puffinford/scale/list_service_process.py
@@ -1,4 +1,4 @@
-"""The list service of a scale run as a process of its own: `python -m puffinford.scale.list_process`.
+"""The list service of a scale run as a process of its own: `python -m puffinford.scale.list_service_process`.
 
 The first line of standard input is its `ListServiceSpec`; further lines are commands. It ends with its input.
 """
@@ -13,7 +13,6 @@
 import anyio
 import anyio.abc
 
-from puffinford.scale.channel import lines_from, tell
 from puffinford.scale.messages import (
     Change,
     Changed,
@@ -29,6 +28,7 @@
     ToListService,
     decode,
 )
+from puffinford.scale.pipes import lines_from, tell
 from puffinford.standins.lists import ListService
 
 TELL_EVERY_S = 0.5
--- a/puffinford/scale/messages.py
+++ b/puffinford/scale/messages.py
@@ -19,7 +19,7 @@
     PLACING = "placing"  # arrivals are not given to the exchange
 
 
-class Crowd(msgspec.Struct, frozen=True, kw_only=True):
+class ClientWorkload(msgspec.Struct, frozen=True, kw_only=True):
     """The clients of each balancer: open loop, drawn from the run's seed and the balancer's number."""
 
     rate: float = 0.0  # arrivals a second at each balancer
@@ -41,7 +41,7 @@
     settings: dict[str, Any]  # as the platform tells them; `me` is each balancer's own
     discovery: list[str]  # HOST:PORT of each balancer's list service or relay, in the order of the balancers
     operators: str = ""  # the text of the operators' file
-    crowd: Crowd = Crowd()
+    crowd: ClientWorkload = ClientWorkload()
     set_up_ms: tuple[float, float] = (0.0, 0.0)  # what an attempt takes at a server: drawn between these
     dead: list[str] = []  # servers that take no connection
     skip: Skip = Skip.NOTHING
--- a/puffinford/scale/seen.py
+++ b/puffinford/scale/process_reports.py
@@ -16,16 +16,16 @@
     ListTally,
     Started,
 )
-from puffinford.scale.told import InForceRow
+from puffinford.scale.propagation import VersionTimestamp
 
 
 @dataclass
-class Seen:
+class ProcessReports:
     """What the processes have told."""
 
-    taken: dict[int, list[InForceRow]] = field(default_factory=dict)
+    taken: dict[int, list[VersionTimestamp]] = field(default_factory=dict)
     started: dict[int, list[float]] = field(default_factory=dict)
-    changed: list[InForceRow] = field(default_factory=list)
+    changed: list[VersionTimestamp] = field(default_factory=list)
     hollow: dict[int, HollowTally] = field(default_factory=dict)  # by process
     lists: ListTally | None = None
     addresses: dict[str, str] = field(default_factory=dict)
@@ -35,7 +35,7 @@
         match message:
             case InForce():
                 for me, version, at in message.rows:
-                    self.taken.setdefault(me, []).append(InForceRow(version, at))
+                    self.taken.setdefault(me, []).append(VersionTimestamp(version, at))
             case Started():
                 for me, at in message.rows:
                     self.started.setdefault(me, []).append(at)
@@ -48,7 +48,7 @@
             case Listening():
                 self.addresses = message.addresses
             case Changed():
-                self.changed.append(InForceRow(message.version, message.at))
+                self.changed.append(VersionTimestamp(message.version, message.at))
             case ListTally():
                 self.lists = message
 
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True)
-class Costs:
+class UsageSnapshot:
     """Counts of a moment; the story's are the difference of two."""
 
     at: float  # Unix ms
--- a/puffinford/scale/told.py
+++ b/puffinford/scale/propagation.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True)
-class InForceRow:
+class VersionTimestamp:
     """A version that came into force at one balancer."""
 
     version: int
@@ -19,14 +19,14 @@
 
 
 @dataclass(frozen=True)
-class Span:
+class OutagePeriod:
     """A time in which the source could not be reached."""
 
     begin: float
     end: float
 
 
-class Told(msgspec.Struct, frozen=True, kw_only=True):
+class PropagationStats(msgspec.Struct, frozen=True, kw_only=True):
     """Over all changes at all balancers; times in ms from the change until it was in force.
 
     A change that came while the source could not be reached counts from when it could be; at a balancer that
@@ -44,12 +44,12 @@
     last_ms: float = 0.0
 
 
-def time_until_told(
-    changes: Sequence[InForceRow],
-    taken: Mapping[int, Sequence[InForceRow]],
+def measure_propagation(
+    changes: Sequence[VersionTimestamp],
+    taken: Mapping[int, Sequence[VersionTimestamp]],
     started: Mapping[int, Sequence[float]],
-    outages: Sequence[Span] = (),
-) -> Told:
+    outages: Sequence[OutagePeriod] = (),
+) -> PropagationStats:
     """`changes` as the source made them, by version; `taken` of every balancer, in order of time.
 
     `started` holds the moments at which balancers were started anew.
@@ -66,7 +66,7 @@
         behind += len(found) < len(changes) or not _heard_since_start(rows, starts)
         delays += found
     delays.sort()
-    return Told(
+    return PropagationStats(
         balancers=len(taken),
         changes=len(changes),
         missed=missed,
@@ -87,14 +87,14 @@
     return round(ordered[max(0, min(len(ordered), rank) - 1)], 1)
 
 
-def _reachable(at: float, outages: Sequence[Span]) -> float:
+def _reachable(at: float, outages: Sequence[OutagePeriod]) -> float:
     for outage in outages:
         if outage.begin <= at < outage.end:
             return outage.end
     return at
 
 
-def _older(rows: Sequence[InForceRow], starts: Sequence[float]) -> int:
+def _older(rows: Sequence[VersionTimestamp], starts: Sequence[float]) -> int:
     """Rows of one process that tell an older version than the row before."""
     found = 0
     for before, after in pairwise(rows):
@@ -103,13 +103,16 @@
     return found
 
 
-def _heard_since_start(rows: Sequence[InForceRow], starts: Sequence[float]) -> bool:
+def _heard_since_start(rows: Sequence[VersionTimestamp], starts: Sequence[float]) -> bool:
     """Whether a balancer that was started anew has had a list since."""
     return not starts or (bool(rows) and rows[-1].at >= starts[-1])
 
 
 def _delays(
-    changes: Sequence[InForceRow], since: Sequence[float], rows: Sequence[InForceRow], starts: Sequence[float]
+    changes: Sequence[VersionTimestamp],
+    since: Sequence[float],
+    rows: Sequence[VersionTimestamp],
+    starts: Sequence[float],
 ) -> list[float]:
     """Of the changes that came into force: the ms that each took."""
     found = []
--- a/puffinford/scale/real.py
+++ b/puffinford/scale/real_balancers.py
@@ -15,10 +15,10 @@
 
 from puffinford.core.clock import Clock
 from puffinford.core.values import Opening
-from puffinford.scale.arrivals import Arrival, Outcome, arrivals, live
-from puffinford.scale.hollow import balancer_name, balancer_seed
-from puffinford.scale.messages import Crowd
-from puffinford.scale.told import InForceRow
+from puffinford.scale.arrivals import Arrival, ConnectionOutcome, arrivals, live
+from puffinford.scale.hollow_balancer import balancer_name, balancer_seed
+from puffinford.scale.messages import ClientWorkload
+from puffinford.scale.propagation import VersionTimestamp
 from puffinford.standins.balancer import BalancerProcess
 from puffinford.standins.listeners import HOST, LineStream
 from puffinford.standins.servers import LineServer, ServerProfile
@@ -37,15 +37,15 @@
     settings: dict[str, Any]
     discovery: str
     operators: str
-    crowd: Crowd
+    crowd: ClientWorkload
     directory: Path
 
 
 @dataclass
-class Logged:
+class BalancerLog:
     """What a real balancer's log tells of a run."""
 
-    taken: list[InForceRow] = field(default_factory=list)
+    taken: list[VersionTimestamp] = field(default_factory=list)
     placed: Counter[str] = field(default_factory=Counter)
 
 
@@ -95,7 +95,7 @@
         """Bytes of memory that all hold together."""
         return sum(balancer.resident_bytes() for balancer in self.balancers.values())
 
-    def logged(self, me: int) -> Logged:
+    def logged(self, me: int) -> BalancerLog:
         """What the balancer's log tells so far."""
         return read_log(self.balancers[me].log)
 
@@ -114,32 +114,32 @@
             tasks.start_soon(self._live, arrival, me)
 
     async def _live(self, arrival: Arrival, me: int) -> None:
-        async def connect(opening: Opening, life: float) -> Outcome:
+        async def connect(opening: Opening, life: float) -> ConnectionOutcome:
             return await self._connect(self.balancers[me].port, opening, life)
 
         await live(arrival, self._spec.crowd, me, self._clock, connect)
 
-    async def _connect(self, port: int, opening: Opening, life: float) -> Outcome:
+    async def _connect(self, port: int, opening: Opening, life: float) -> ConnectionOutcome:
         """One connection over the platform's line protocol."""
         try:
             stream = await anyio.connect_tcp(HOST, port)
         except OSError:
-            return Outcome.BROKEN
+            return ConnectionOutcome.BROKEN
         lines = LineStream(stream)
         try:
             parameters = ",".join(f"{name}={value}" for name, value in opening.parameters)
             await lines.send_line(f"OPEN {opening.request_id} {opening.key} {parameters}".encode())
             if not (await lines.next()).startswith(b"UP "):
-                return Outcome.REFUSED
+                return ConnectionOutcome.REFUSED
             with self._clock.limit(life):
                 ended = await lines.next()
-                return Outcome.MOVED if ended == b"MOVE" else Outcome.BROKEN
-            return Outcome.DONE
+                return ConnectionOutcome.MOVED if ended == b"MOVE" else ConnectionOutcome.BROKEN
+            return ConnectionOutcome.DONE
         finally:
             await anyio.aclose_forcefully(stream)
 
 
-class ServerPool:
+class StandInServers:
     """The stand-in servers that real balancers place on."""
 
     def __init__(self, count: int, seed: int, clock: Clock, tasks: anyio.abc.TaskGroup) -> None:
@@ -156,15 +156,15 @@
         return [{"id": server.id, "addr": server.address} for server in self._servers]
 
 
-def read_log(path: Path) -> Logged:
+def read_log(path: Path) -> BalancerLog:
     """The versions that came, with their moments, and the connections that came up, by server."""
-    logged = Logged()
+    logged = BalancerLog()
     if not path.exists():
         return logged
     for line in path.read_text(errors="replace").splitlines():
         if " event=discovery version=" in line:
             values = _values(line)
-            logged.taken.append(InForceRow(int(values["version"]), float(values["t"]) * 1_000.0))
+            logged.taken.append(VersionTimestamp(int(values["version"]), float(values["t"]) * 1_000.0))
         elif "from=core.exchange" in line and "event=up " in line:
             logged.placed[_values(line)["server"]] += 1
     return logged
@@ -174,7 +174,7 @@
     return dict(word.partition("=")[::2] for word in shlex.split(line))
 
 
-def placements(logs: Sequence[Logged]) -> Counter[str]:
+def placements(logs: Sequence[BalancerLog]) -> Counter[str]:
     """Connections that came up at all of them, by server."""
     total: Counter[str] = Counter()
     for logged in logs:
--- a/puffinford/scale/run.py
+++ b/puffinford/scale/run.py
@@ -14,9 +14,8 @@
 
 from puffinford.core.clock import Clock
 from puffinford.scale.assemble import HOLLOW_GROUP, REAL_GROUP, assemble
-from puffinford.scale.channel import cpu_seconds
 from puffinford.scale.children import Child, ChildFailed
-from puffinford.scale.distribution import Distribution, NotDistributed, distribution
+from puffinford.scale.distribution import Distribution, RelayNotListening, distribution
 from puffinford.scale.messages import (
     Begin,
     Cut,
@@ -31,9 +30,10 @@
     ResetWatches,
 )
 from puffinford.scale.outcome import RunOutcome
+from puffinford.scale.pipes import cpu_seconds
 from puffinford.scale.plan import RunPlan
-from puffinford.scale.real import RealBalancers, RealSpec, ServerPool
-from puffinford.scale.seen import Costs, Seen
+from puffinford.scale.process_reports import ProcessReports, UsageSnapshot
+from puffinford.scale.real_balancers import RealBalancers, RealSpec, StandInServers
 from puffinford.scale.stories import RelayFault, Story, changes, third
 from puffinford.standins.balancer import platform_settings
 from puffinford.standins.clients import ClientClass
@@ -48,7 +48,7 @@
 DESCRIPTORS_SPARE = 512
 
 
-class NotHeld(Exception):
+class SizeNotHeld(Exception):
     """The run could not hold its size; the text says why."""
 
 
@@ -59,7 +59,7 @@
         self._plan = plan
         self._directory = directory
         self._clock = Clock()
-        self._seen = Seen()
+        self._seen = ProcessReports()
         self._distribution: Distribution = distribution(plan.relays, directory)
         self.ready = False  # all balancers have a list
         self._hollow: list[Child] = []
@@ -81,10 +81,12 @@
                 run = await self._play(tasks)
                 tasks.cancel_scope.cancel()
         except BaseExceptionGroup as failed:
-            known, other = failed.split((NotHeld, ChildFailed, NotDistributed, TimeoutError))
+            known, other = failed.split((SizeNotHeld, ChildFailed, RelayNotListening, TimeoutError))
             if known is None or other is not None:
                 raise
-            raise NotHeld("; ".join(str(exc) or "not ready in time" for exc in _leaves(known))) from failed
+            raise SizeNotHeld(
+                "; ".join(str(exc) or "not ready in time" for exc in _leaves(known))
+            ) from failed
         finally:
             if self._real is not None:
                 self._real.stop()
@@ -92,7 +94,7 @@
         return run
 
     async def _play(self, tasks: anyio.abc.TaskGroup) -> RunOutcome:
-        pool = ServerPool(self._plan.servers, self._plan.seed, self._clock, tasks)
+        pool = StandInServers(self._plan.servers, self._plan.seed, self._clock, tasks)
         await self._start_lists(pool, tasks)
         self._start_hollow(tasks)
         await self._start_real()
@@ -110,11 +112,11 @@
         hollow = [f"{HOLLOW_GROUP}{number}" for number in range(self._plan.processes)]
         return [REAL_GROUP, *hollow, *self._distribution.groups]
 
-    async def _start_lists(self, pool: ServerPool, tasks: anyio.abc.TaskGroup) -> None:
+    async def _start_lists(self, pool: StandInServers, tasks: anyio.abc.TaskGroup) -> None:
         spec = ListServiceSpec(
             groups=self._groups(), servers=pool.entries(), service_ms=self._plan.service_ms
         )
-        module = "puffinford.scale.list_process"
+        module = "puffinford.scale.list_service_process"
         self._lists = Child(module, spec, FromListService, self._seen.hear_lists)
         tasks.start_soon(self._lists.run)
         with anyio.fail_after(READY_LEAST_S):
@@ -151,7 +153,7 @@
         def hear(message: FromHollow) -> None:
             self._seen.hear_hollow(number, message)
 
-        return Child("puffinford.scale.process", spec, FromHollow, hear)
+        return Child("puffinford.scale.hollow_process", spec, FromHollow, hear)
 
     async def _start_real(self) -> None:
         plan = self._plan
@@ -176,11 +178,11 @@
             while self._seen.informed() < plan.hollow or self._seen.lists is None:
                 await anyio.sleep(LOOK_S)
             return
-        raise NotHeld(f"{self._seen.informed()} of {plan.hollow} hollow balancers have a list")
+        raise SizeNotHeld(f"{self._seen.informed()} of {plan.hollow} hollow balancers have a list")
 
     # The story
 
-    async def _begin_story(self, tasks: anyio.abc.TaskGroup) -> Costs:
+    async def _begin_story(self, tasks: anyio.abc.TaskGroup) -> UsageSnapshot:
         story, plan = self._plan.story, self._plan
         self._begin = begin = time.time() * 1_000.0 + LEAD_MS
         end = begin + story.span * 1_000.0
@@ -251,10 +253,10 @@
 
     # The end
 
-    def _costs(self) -> Costs:
+    def _costs(self) -> UsageSnapshot:
         lists = self._seen.lists
         assert lists is not None
-        return Costs(
+        return UsageSnapshot(
             time.time() * 1_000.0,
             sum(cpu_seconds(child.pid) for child in self._hollow),
             self._real.cpu() if self._real is not None else 0.0,
@@ -280,4 +282,4 @@
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     wanted = plan.hollow + plan.real + DESCRIPTORS_SPARE
     if allowed != resource.RLIM_INFINITY and allowed < wanted:
-        raise NotHeld(f"{wanted} descriptors are needed at the list service, and {allowed} are allowed")
+        raise SizeNotHeld(f"{wanted} descriptors are needed at the list service, and {allowed} are allowed")
--- a/puffinford/scale/stories.py
+++ b/puffinford/scale/stories.py
@@ -12,7 +12,7 @@
 
 from puffinford.scale.messages import Change
 
-FULL = 60.0  # the span of a story at size
+FULL_SPAN_S = 60.0  # the span of a story at size
 CHANGE_EVERY = 12.0  # 7,100 changes a day
 FAULT_CHANGES = 12  # spread over a story in which processes fail: one in 5 s at FULL
 BURST_OVER = 0.1  # the changes of a burst come within this
@@ -60,7 +60,7 @@
 
 
 def _calm(span: float) -> Story:
-    return Story("calm", span, _steady(span, CHANGE_EVERY * span / FULL))
+    return Story("calm", span, _steady(span, CHANGE_EVERY * span / FULL_SPAN_S))
 
 
 def _busy(span: float) -> Story:
@@ -99,12 +99,12 @@
 
 
 _MAKERS = (_calm, _busy, _burst_40, _burst_300, _resets, _killed, _list_down)
-DIRECT = {maker(FULL).name: maker for maker in _MAKERS}
+DIRECT = {maker(FULL_SPAN_S).name: maker for maker in _MAKERS}
 WITH_RELAYS = {f"relay-{fault.value}": _relay_story(fault) for fault in RelayFault}
 STORIES: dict[str, Callable[[float], Story]] = {**DIRECT, **WITH_RELAYS}
 
 
-def story(name: str, span: float = FULL) -> Story:
+def story(name: str, span: float = FULL_SPAN_S) -> Story:
     """A story of STORIES within `span` seconds; raises KeyError."""
     return STORIES[name](span)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -19,15 +19,21 @@
 
 from benchmarks.scale import runs as bench
 from puffinford.core.clock import Clock
-from puffinford.scale.agreement import Bounds, Observed, disagreements
+from puffinford.scale.agreement import Bounds, KindObservation, disagreements
 from puffinford.scale.arrivals import arrivals
-from puffinford.scale.messages import Crowd, Skip
+from puffinford.scale.messages import ClientWorkload, Skip
 from puffinford.scale.outcome import RunOutcome
 from puffinford.scale.plan import RunPlan
-from puffinford.scale.run import NotHeld, Run
+from puffinford.scale.propagation import (
+    OutagePeriod,
+    PropagationStats,
+    VersionTimestamp,
+    measure_propagation,
+    quantile,
+)
+from puffinford.scale.run import Run, SizeNotHeld
 from puffinford.scale.shared_clock import STEP_MOST, TURN_MS, SharedClock
 from puffinford.scale.stories import DIRECT, WITH_RELAYS, changes, story, third
-from puffinford.scale.told import InForceRow, Span, Told, quantile, time_until_told
 from puffinford.standins.discovery import Discovery
 from puffinford.standins.listeners import HOST
 from puffinford.standins.lists import ListService
@@ -46,8 +52,8 @@
         processes=2,
         real=REAL,
         servers=20,
-        crowd=Crowd(rate=0.5, life_ms=2_000.0),
-        lost_most=float("inf"),
+        crowd=ClientWorkload(rate=0.5, life_ms=2_000.0),
+        max_lost_fraction=float("inf"),
     )
     return replace(plan, **more)  # type: ignore[arg-type]
 
@@ -63,26 +69,26 @@
 def test_every_change_of_a_story_comes_into_force_everywhere(name: str, tmp_path: Path) -> None:
     run = played(small(name), tmp_path)
     balancers = HOLLOW + REAL
-    assert run.held, run.why
+    assert run.held, run.reason
     assert run.changes == len(story(name, SPAN).change_at)
-    for told, count in ((run.hollow_told, HOLLOW), (run.real_told, REAL)):
+    for told, count in ((run.hollow_propagation, HOLLOW), (run.real_propagation, REAL)):
         assert (told.missed, told.older) == (0, 0)
         assert (told.balancers, told.changes) == (count, run.changes)
     assert run.hollow_load.placed > 0 and run.real_load.placed > 0
     assert run.restarts == (HOLLOW // 3 if name == "third-killed" else 0)
     if name == "resets":
-        assert run.list_service.broken >= balancers
+        assert run.list_service.reset_connections >= balancers
     if name == "list-down":
-        assert run.list_service.broken >= balancers
+        assert run.list_service.reset_connections >= balancers
     if name.startswith("burst"):
-        assert run.hollow_told.lists < HOLLOW * run.changes / 2, "what comes together is sent together"
+        assert run.hollow_propagation.lists < HOLLOW * run.changes / 2, "what comes together is sent together"
 
 
 @pytest.mark.parametrize("name", WITH_RELAYS)
 def test_every_change_comes_into_force_through_relays_one_of_which_fails(name: str, tmp_path: Path) -> None:
     run = played(small(name, relays=3), tmp_path)
-    assert run.held, run.why
-    for told in (run.hollow_told, run.real_told):
+    assert run.held, run.reason
+    for told in (run.hollow_propagation, run.real_propagation):
         assert (told.missed, told.behind, told.older) == (0, 0, 0)
     upstream = [relay.upstream_calls for relay in run.relay_load]
     assert min(upstream[1:]) > 0
@@ -93,46 +99,46 @@
 
 
 def twins(skip: Skip = Skip.NOTHING) -> RunPlan:
-    plan = replace(bench.twins(1, skip, 4.0), lost_most=float("inf"), bounds=UNTIMED)
+    plan = replace(bench.twins(1, skip, 4.0), max_lost_fraction=float("inf"), bounds=UNTIMED)
     return replace(plan, hollow=REAL, real=REAL, servers=20)
 
 
 def test_hollow_and_real_balancers_agree(tmp_path: Path) -> None:
     run = played(twins(), tmp_path)
-    assert run.held, run.why
+    assert run.held, run.reason
     assert run.disagreements == []
     assert run.real_load.placed >= 20
 
 
-@pytest.mark.parametrize(("skip", "figure"), [(Skip.LISTS, "lists"), (Skip.PLACING, "placed")])
+@pytest.mark.parametrize(("skip", "metric"), [(Skip.LISTS, "lists"), (Skip.PLACING, "placed")])
 def test_a_hollow_balancer_that_skips_its_work_does_not_agree(
-    skip: Skip, figure: str, tmp_path: Path
+    skip: Skip, metric: str, tmp_path: Path
 ) -> None:
     run = played(twins(skip), tmp_path)
-    assert figure in {found.figure for found in run.disagreements}
+    assert metric in {found.metric for found in run.disagreements}
 
 
-SOUND = Observed(10.0, 2_000.0, Told(lists=48, p99_ms=80.0), {0: {"a": 5, "b": 5}})
+SOUND = KindObservation(10.0, 2_000.0, PropagationStats(lists=48, p99_ms=80.0), {0: {"a": 5, "b": 5}})
 
 
 @pytest.mark.parametrize(
-    ("changed", "figure"),
+    ("changed", "metric"),
     [
         ({"calls": 12.0}, "calls"),
         ({"sent": 2_300.0}, "sent"),
-        ({"told": Told(lists=40, p99_ms=80.0)}, "lists"),
-        ({"told": Told(lists=48, missed=1, p99_ms=80.0)}, "missed"),
-        ({"told": Told(lists=48, older=1, p99_ms=80.0)}, "older"),
-        ({"told": Told(lists=48, p99_ms=1_081.0)}, "p99_ms"),
+        ({"told": PropagationStats(lists=40, p99_ms=80.0)}, "lists"),
+        ({"told": PropagationStats(lists=48, missed=1, p99_ms=80.0)}, "missed"),
+        ({"told": PropagationStats(lists=48, older=1, p99_ms=80.0)}, "older"),
+        ({"told": PropagationStats(lists=48, p99_ms=1_081.0)}, "p99_ms"),
         ({"placed": {0: {"a": 5, "b": 3}}}, "placed"),
         ({"placed": {0: {"a": 3, "b": 7}}}, "placed elsewhere"),
         ({"placed": {1: {"a": 5, "b": 5}}}, "placed elsewhere"),
     ],
 )
-def test_each_figure_out_of_its_bound_is_named(changed: dict[str, object], figure: str) -> None:
+def test_each_figure_out_of_its_bound_is_named(changed: dict[str, object], metric: str) -> None:
     assert disagreements(SOUND, SOUND) == []
     found = disagreements(replace(SOUND, **changed), SOUND)  # type: ignore[arg-type]
-    assert figure in {one.figure for one in found}
+    assert metric in {one.metric for one in found}
 
 
 # A size that is not held
@@ -143,7 +149,7 @@
     run = Run(small("busy", real=0), tmp_path)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(_kill_one, run)
-        with pytest.raises(NotHeld, match="ended by itself"):
+        with pytest.raises(SizeNotHeld, match="ended by itself"):
             await run.play()
 
 
@@ -171,31 +177,31 @@
 # How long changes took
 
 
-def rows(*told: tuple[int, float]) -> list[InForceRow]:
-    return [InForceRow(version, at) for version, at in told]
+def rows(*told: tuple[int, float]) -> list[VersionTimestamp]:
+    return [VersionTimestamp(version, at) for version, at in told]
 
 
 def test_the_time_of_a_change_ends_with_the_first_version_that_holds_it() -> None:
-    told = time_until_told(rows((2, 100.0), (3, 200.0)), {0: rows((1, 0.0), (3, 250.0))}, {})
+    told = measure_propagation(rows((2, 100.0), (3, 200.0)), {0: rows((1, 0.0), (3, 250.0))}, {})
     assert (told.missed, told.behind, told.p50_ms, told.last_ms) == (0, 0, 50.0, 150.0)
 
 
 def test_a_change_that_never_came_into_force_is_missed() -> None:
-    told = time_until_told(rows((2, 100.0), (3, 200.0)), {0: rows((2, 110.0)), 1: []}, {})
+    told = measure_propagation(rows((2, 100.0), (3, 200.0)), {0: rows((2, 110.0)), 1: []}, {})
     assert (told.missed, told.behind, told.last_ms) == (3, 2, 10.0)
 
 
 def test_a_restarted_balancer_counts_from_its_start_and_may_be_told_an_older_version() -> None:
-    told = time_until_told(rows((5, 100.0)), {0: rows((4, 0.0), (3, 320.0), (5, 330.0))}, {0: [300.0]})
+    told = measure_propagation(rows((5, 100.0)), {0: rows((4, 0.0), (3, 320.0), (5, 330.0))}, {0: [300.0]})
     assert (told.missed, told.older, told.last_ms) == (0, 0, 30.0)
 
 
 def test_an_older_version_after_a_newer_one_is_counted() -> None:
-    assert time_until_told([], {0: rows((4, 0.0), (3, 1.0), (5, 2.0))}, {}).older == 1
+    assert measure_propagation([], {0: rows((4, 0.0), (3, 1.0), (5, 2.0))}, {}).older == 1
 
 
 def test_a_change_made_while_the_source_is_out_counts_from_its_return() -> None:
-    told = time_until_told(rows((2, 150.0)), {0: rows((2, 400.0))}, {}, [Span(100.0, 300.0)])
+    told = measure_propagation(rows((2, 150.0)), {0: rows((2, 400.0))}, {}, [OutagePeriod(100.0, 300.0)])
     assert told.last_ms == 100.0
 
 
@@ -262,7 +268,7 @@
 
 
 def test_clients_and_kills_are_the_same_each_time_and_differ_by_balancer() -> None:
-    crowd = Crowd(rate=1.0)
+    crowd = ClientWorkload(rate=1.0)
     first, again, other = (list(islice(arrivals(crowd, 1, me), 20)) for me in (0, 0, 1))
     assert first == again != other
     assert third(90, 1) == third(90, 1) and len(set(third(90, 1))) == 30
