--- a/benchmarks/scale/runs.py
+++ b/benchmarks/scale/runs.py
@@ -23,7 +23,7 @@
 from puffinford.scale.outcome import RunOutcome
 from puffinford.scale.plan import RunPlan
 from puffinford.scale.run import Run, SizeNotHeld
-from puffinford.scale.stories import DIRECT, FULL_SPAN_S, STORIES, WITH_RELAYS, story
+from puffinford.scale.stories import DIRECT_STORIES, FULL_SPAN_S, RELAY_STORIES, STORIES, story
 from puffinford.text_table import format_table
 
 TWINS = 8  # hollow and as many real balancers that have to agree
@@ -43,7 +43,7 @@
         processes=1,
         real=TWINS,
         seed=seed,
-        crowd=TWIN_CROWD,
+        workload=TWIN_CROWD,
         paired=True,
         skip=skip,
     )
@@ -129,11 +129,11 @@
         servers=servers,
         service_ms=service_ms,
         seed=seed,
-        crowd=ClientWorkload(rate=rate),
+        workload=ClientWorkload(rate=rate),
     )
     chosen = list(names)
     if "all" in names:
-        chosen = [*DIRECT, *(WITH_RELAYS if relays else {})]
+        chosen = [*DIRECT_STORIES, *(RELAY_STORIES if relays else {})]
     runs: list[RunOutcome] = []
     try:
         if results.exists():
@@ -145,7 +145,7 @@
         if agreement:
             disagreements = _agree(seed, runs)
         for name in chosen:
-            if name in WITH_RELAYS and not relays:
+            if name in RELAY_STORIES and not relays:
                 raise click.UsageError(f"{name} needs --relays")
             runs.append(play(replace(plan, story=story(name, span))))
             click.echo(f"{name}: {runs[-1].reason or 'held'}", err=True)
--- a/puffinford/scale/agreement.py
+++ b/puffinford/scale/agreement.py
@@ -1,7 +1,7 @@
-"""Whether hollow and real balancers agree: same numbers, seeds, clients and story, seen from outside. Pure.
+"""Compares hollow with real balancers that ran with the same numbers, seeds, clients and story. No I/O.
 
-Judged by balancer: calls and bytes at the list service, lists taken, changes missed, the time until a change
-is in force, and where clients were placed.
+Compared are calls and bytes at the list service, lists applied, changes missed, the time until a change is
+applied, and the servers on which clients were placed.
 """
 
 from __future__ import annotations
@@ -16,28 +16,29 @@
 
 @dataclass(frozen=True)
 class KindObservation:
-    """What balancers of one kind came to; calls, bytes and lists are means a balancer."""
+    """Measurements of the balancers of one kind, hollow or real; calls and bytes are means per balancer."""
 
     calls: float
-    sent: float  # bytes of answers
-    told: PropagationStats
-    placed: Mapping[int, Mapping[str, int]] = field(default_factory=dict)  # by balancer, by server
+    sent_bytes: float  # of the list service's answers
+    propagation: PropagationStats
+    # Established connections by balancer and server.
+    placed: Mapping[int, Mapping[str, int]] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """By how much they may differ. The time allows for loops of a busy machine; all else is counted."""
+    """The largest accepted differences; ratios are relative to the value of the real balancers."""
 
-    calls: float = 0.1  # of the real ones' calls ...
-    calls_least: float = 1.0  # ... or so many: a watch may end just before or after the last look
-    sent: float = 0.1  # of the real ones' bytes
-    lists: float = 0.1  # of the lists that the real ones took
-    placed: float = 0.1  # of all placements, those at another server
-    p99_ms: float = 1_000.0
+    calls_ratio: float = 0.1
+    min_calls: float = 1.0  # lower limit of the bound; a watch may end just before or after the last snapshot
+    sent_ratio: float = 0.1
+    lists_ratio: float = 0.1
+    placed_ratio: float = 0.1
+    p99_ms: float = 1_000.0  # absolute; allows for late event loops on a busy host
 
 
 class Disagreement(msgspec.Struct, frozen=True):
-    """A figure in which they differ by more than its bound."""
+    """A metric that differs by more than its bound."""
 
     metric: str
     hollow: float
@@ -48,35 +49,42 @@
 def disagreements(
     hollow: KindObservation, real: KindObservation, bounds: Bounds | None = None
 ) -> list[Disagreement]:
-    """All figures out of bounds; none where they agree."""
+    """The metrics that are out of bounds; empty if the two kinds agree."""
     bounds = bounds or Bounds()
-    judged = [
-        ("calls", hollow.calls, real.calls, max(bounds.calls_least, bounds.calls * real.calls)),
-        ("sent", hollow.sent, real.sent, bounds.sent * real.sent),
-        ("lists", hollow.told.lists, real.told.lists, bounds.lists * real.told.lists),
-        ("missed", hollow.told.missed, real.told.missed, 0.0),
-        ("older", hollow.told.older, real.told.older, 0.0),
-        ("p99_ms", hollow.told.p99_ms, real.told.p99_ms, bounds.p99_ms),
-        ("placed", _total(hollow), _total(real), bounds.placed * _total(real)),
-        ("placed elsewhere", elsewhere(hollow.placed, real.placed), 0.0, bounds.placed),
+    comparisons = [
+        ("calls", hollow.calls, real.calls, max(bounds.min_calls, bounds.calls_ratio * real.calls)),
+        ("sent", hollow.sent_bytes, real.sent_bytes, bounds.sent_ratio * real.sent_bytes),
+        (
+            "lists",
+            hollow.propagation.lists,
+            real.propagation.lists,
+            bounds.lists_ratio * real.propagation.lists,
+        ),
+        ("missed", hollow.propagation.missed, real.propagation.missed, 0.0),
+        ("older", hollow.propagation.older, real.propagation.older, 0.0),
+        ("p99_ms", hollow.propagation.p99_ms, real.propagation.p99_ms, bounds.p99_ms),
+        ("placed", _total_placed(hollow), _total_placed(real), bounds.placed_ratio * _total_placed(real)),
+        ("placed elsewhere", placement_difference(hollow.placed, real.placed), 0.0, bounds.placed_ratio),
     ]
     return [
-        Disagreement(metric, round(ours, 3), round(theirs, 3), round(bound, 3))
-        for metric, ours, theirs, bound in judged
-        if abs(ours - theirs) > bound
+        Disagreement(metric, round(hollow_value, 3), round(real_value, 3), round(bound, 3))
+        for metric, hollow_value, real_value, bound in comparisons
+        if abs(hollow_value - real_value) > bound
     ]
 
 
-def elsewhere(hollow: Mapping[int, Mapping[str, int]], real: Mapping[int, Mapping[str, int]]) -> float:
-    """The part of placements that one kind made and the other did not, by balancer and server."""
-    differ = total = 0
-    for me in hollow.keys() | real.keys():
-        ours, theirs = hollow.get(me, {}), real.get(me, {})
-        for server in ours.keys() | theirs.keys():
-            differ += abs(ours.get(server, 0) - theirs.get(server, 0))
-            total += ours.get(server, 0) + theirs.get(server, 0)
-    return differ / total if total else 0.0
+def placement_difference(
+    hollow: Mapping[int, Mapping[str, int]], real: Mapping[int, Mapping[str, int]]
+) -> float:
+    """The fraction of placements, by balancer and server, that only one of the kinds made."""
+    differing = total = 0
+    for number in hollow.keys() | real.keys():
+        hollow_counts, real_counts = hollow.get(number, {}), real.get(number, {})
+        for server in hollow_counts.keys() | real_counts.keys():
+            differing += abs(hollow_counts.get(server, 0) - real_counts.get(server, 0))
+            total += hollow_counts.get(server, 0) + real_counts.get(server, 0)
+    return differing / total if total else 0.0
 
 
-def _total(observed: KindObservation) -> float:
-    return float(sum(sum(counts.values()) for counts in observed.placed.values()))
+def _total_placed(observation: KindObservation) -> float:
+    return float(sum(sum(counts.values()) for counts in observation.placed.values()))
--- a/puffinford/scale/arrivals.py
+++ b/puffinford/scale/arrivals.py
@@ -1,4 +1,4 @@
-"""The clients of a scale run: drawn once, and played alike at hollow and real balancers."""
+"""The simulated clients of a scale run, generated from a seed alike for hollow and real balancers."""
 
 from __future__ import annotations
 
@@ -11,65 +11,68 @@
 from puffinford.core.values import Opening
 from puffinford.scale.messages import ClientWorkload
 
-REJOIN = (140.0, 1_100.0)  # ms after which a client that was moved or cut off comes back
-RETURNS_MOST = 3  # times that it does
+REJOIN_DELAY_MS = (140.0, 1_100.0)  # range of the wait of a moved or disconnected client
+MAX_RETURNS = 3  # of one client
 
 
 class ConnectionOutcome(Enum):
-    """What became of one connection."""
+    """How one connection ended."""
 
-    DONE = "done"  # the client ended it
-    REFUSED = "refused"  # turned away or failed
-    MOVED = "moved"  # it stood, and the balancer sent it away
-    BROKEN = "broken"  # it ended without a word
+    DONE = "done"  # closed by the client
+    REFUSED = "refused"  # rejected or failed before it was established
+    MOVED = "moved"  # established, then moved by the balancer
+    BROKEN = "broken"  # closed without an answer or a move
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One client: when it comes, who it is, how long it stays, and when it is back after a move."""
+    """One client: its time of arrival, identity, lifetime, and delay before it reconnects."""
 
-    after: float  # ms from the first moment at which clients come
+    after_ms: float  # since the start of the arrivals
     key: str
     group: str
-    life: float
-    rejoin: float
+    life_ms: float
+    rejoin_ms: float
 
 
-Connect = Callable[
-    [Opening, float], Awaitable[ConnectionOutcome]
-]  # an opening, and how long it stays at most, in ms
+# Opens a connection and holds it for at most the given time in ms.
+Connect = Callable[[Opening, float], Awaitable[ConnectionOutcome]]
 
 
-def arrivals(crowd: ClientWorkload, seed: int, me: int) -> Iterator[Arrival]:
-    """The clients of one balancer, without end; the same ones each time."""
-    rng = random.Random(f"{seed} {me}")
-    after = 0.0
-    while crowd.rate > 0.0:
-        after += rng.expovariate(crowd.rate) * 1_000.0
-        key, group = f"{rng.getrandbits(48):x}", f"{rng.randrange(crowd.groups):x}"
-        yield Arrival(after, key, group, rng.expovariate(1.0 / crowd.life_ms), rng.uniform(*REJOIN))
+def generate_arrivals(workload: ClientWorkload, seed: int, number: int) -> Iterator[Arrival]:
+    """The endless sequence of clients of one balancer, determined by the seed and the balancer's number."""
+    rng = random.Random(f"{seed} {number}")
+    after_ms = 0.0
+    while workload.rate > 0.0:
+        after_ms += rng.expovariate(workload.rate) * 1_000.0
+        key, group = f"{rng.getrandbits(48):x}", f"{rng.randrange(workload.groups):x}"
+        yield Arrival(
+            after_ms, key, group, rng.expovariate(1.0 / workload.life_ms), rng.uniform(*REJOIN_DELAY_MS)
+        )
 
 
-def opening(arrival: Arrival, crowd: ClientWorkload, me: int, returns: int) -> Opening:
-    """What a client asks for, the first time or when it is back."""
-    figures: list[tuple[str, str | None]] = [
-        ("c", crowd.cls),
-        ("d", f"{crowd.wait_ms:.0f}"),
+def make_opening(arrival: Arrival, workload: ClientWorkload, number: int, returns: int) -> Opening:
+    """The opening of a client's first connection, or of the reconnection with the number `returns`."""
+    parameters: list[tuple[str, str | None]] = [
+        ("c", workload.cls),
+        ("d", f"{workload.wait_ms:.0f}"),
         ("g", arrival.group),
     ]
     if returns:
-        figures.append(("again", "1"))
-    return Opening.from_parameters(f"{me:04x}{arrival.key}{returns:x}", arrival.key, tuple(figures))
-
-
-async def live(arrival: Arrival, crowd: ClientWorkload, me: int, clock: Clock, connect: Connect) -> None:
-    """One client from its first opening until it is done, was turned away, or has come back often enough."""
-    end = clock.now() + arrival.life
-    for returns in range(RETURNS_MOST + 1):
-        left = end - clock.now()
-        if left <= 0.0:
+        parameters.append(("again", "1"))
+    return Opening.from_parameters(f"{number:04x}{arrival.key}{returns:x}", arrival.key, tuple(parameters))
+
+
+async def run_client(
+    arrival: Arrival, workload: ClientWorkload, number: int, clock: Clock, connect: Connect
+) -> None:
+    """Run one client until its lifetime ends, it is refused, or it has reconnected `MAX_RETURNS` times."""
+    ends_at = clock.now() + arrival.life_ms
+    for returns in range(MAX_RETURNS + 1):
+        remaining_ms = ends_at - clock.now()
+        if remaining_ms <= 0.0:
             return
-        outcome = await connect(opening(arrival, crowd, me, returns), left)
+        outcome = await connect(make_opening(arrival, workload, number, returns), remaining_ms)
         if outcome in (ConnectionOutcome.DONE, ConnectionOutcome.REFUSED):
             return
-        await clock.sleep(arrival.rejoin)
+        await clock.sleep(arrival.rejoin_ms)
--- a/puffinford/scale/assemble.py
+++ b/puffinford/scale/assemble.py
@@ -1,4 +1,4 @@
-"""From what the processes of a run have told to its outcome."""
+"""Assembles the outcome of a run from the reports of its processes."""
 
 from __future__ import annotations
 
@@ -16,57 +16,61 @@
 from puffinford.scale.real_balancers import RealBalancers
 
 REAL_GROUP = "real"
-HOLLOW_GROUP = "hollow-"  # and the number of the process
+HOLLOW_GROUP = "hollow-"  # followed by the number of the process
 
 
 @dataclass(frozen=True)
 class KindResult:
-    """What the balancers of one kind came to during the story."""
+    """Measurements of the balancers of one kind, hollow or real, during the story."""
 
     count: int
     groups: Sequence[GroupTally]
-    told: PropagationStats
+    propagation: PropagationStats
     placed: Mapping[int, Counter[str]]
-    cpu: float  # seconds of all together
-    resident: int  # bytes of all together
+    cpu_s: float  # summed over the balancers
+    resident_bytes: int  # summed over the balancers
 
     def load(self, seconds: float, relays: int) -> BalancerLoad:
-        """Means a balancer."""
-        each = max(1, self.count) * seconds
+        """Means per balancer over `seconds`."""
+        balancer_seconds = max(1, self.count) * seconds
         calls = sum(tally.calls for tally in self.groups)
         size = sum(tally.sent + tally.received for tally in self.groups)
         return BalancerLoad(
-            calls_per_s=None if relays else round(calls / each, 4),
-            bytes_per_s=None if relays else round(size / each, 1),
-            cpu_percent=round(100.0 * self.cpu / each, 4),
-            resident_kib=round(self.resident / max(1, self.count) / 1_024.0, 1),
+            calls_per_s=None if relays else round(calls / balancer_seconds, 4),
+            bytes_per_s=None if relays else round(size / balancer_seconds, 1),
+            cpu_percent=round(100.0 * self.cpu_s / balancer_seconds, 4),
+            resident_kib=round(self.resident_bytes / max(1, self.count) / 1_024.0, 1),
             placed=sum(counts.total() for counts in self.placed.values()),
         )
 
-    def observed(self) -> KindObservation:
-        """What the agreement goes by."""
+    def observation(self) -> KindObservation:
+        """The values by which hollow and real balancers are compared."""
         count = max(1, self.count)
         calls = sum(tally.calls for tally in self.groups) / count
         sent = sum(tally.sent for tally in self.groups) / count
-        return KindObservation(calls, sent, self.told, self.placed)
+        return KindObservation(calls, sent, self.propagation, self.placed)
 
 
-def assemble(
+def assemble_outcome(
     plan: RunPlan,
-    seen: ProcessReports,
-    begin: float,
+    reports: ProcessReports,
+    begin_ms: float,
     before: UsageSnapshot,
     after: UsageSnapshot,
     real: RealBalancers | None,
     distribution: Distribution,
 ) -> RunOutcome:
-    """The outcome of a run whose story began at `begin`, in Unix ms."""
-    seconds = (after.at - before.at) / 1_000.0
-    tallies = {group: _less(after.groups[group], before.groups[group]) for group in after.groups}
-    ours = _hollow(plan, seen, _outages(plan, begin), tallies, after.hollow_cpu - before.hollow_cpu)
-    theirs = _real(seen, _outages(plan, begin), tallies, after.real_cpu - before.real_cpu, real)
-    lateness = _lateness(seen, seconds)
-    reason = _not_held(plan, seen, lateness, real)
+    """The outcome of a run whose story began at `begin_ms` (Unix time)."""
+    seconds = (after.at_ms - before.at_ms) / 1_000.0
+    tallies = {group: _difference(after.groups[group], before.groups[group]) for group in after.groups}
+    hollow_result = _hollow_result(
+        plan, reports, _outages(plan, begin_ms), tallies, after.hollow_cpu_s - before.hollow_cpu_s
+    )
+    real_result = _real_result(
+        reports, _outages(plan, begin_ms), tallies, after.real_cpu_s - before.real_cpu_s, real
+    )
+    lateness = _lateness(reports, seconds)
+    reason = _failure_reason(plan, reports, lateness, real)
     return RunOutcome(
         story=plan.story.name,
         distribution=distribution.name,
@@ -75,93 +79,99 @@
         processes=plan.processes,
         relays=plan.relays,
         servers=plan.servers,
-        changes=len(seen.changed),
-        restarts=sum(len(starts) for starts in seen.started.values()),
+        changes=len(reports.published),
+        restarts=sum(len(starts) for starts in reports.restarted_at.values()),
         service_ms=plan.service_ms,
         seed=plan.seed,
-        rate=plan.crowd.rate,
+        rate=plan.workload.rate,
         seconds=round(seconds, 1),
-        list_service=_list_load(seen, tallies, before, after),
-        hollow_propagation=ours.told,
-        real_propagation=theirs.told,
-        hollow_load=ours.load(seconds, plan.relays),
-        real_load=theirs.load(seconds, plan.relays),
+        list_service=_list_service_load(reports, tallies, before, after),
+        hollow_propagation=hollow_result.propagation,
+        real_propagation=real_result.propagation,
+        hollow_load=hollow_result.load(seconds, plan.relays),
+        real_load=real_result.load(seconds, plan.relays),
         relay_load=_relay_load(distribution, tallies, before, after),
         lateness=lateness,
-        resident_mib=round(sum(tally.resident for tally in seen.hollow.values()) / (1 << 20), 1),
+        resident_mib=round(sum(tally.resident for tally in reports.hollow_tallies.values()) / (1 << 20), 1),
         held=not reason,
         reason=reason,
-        disagreements=_disagreements(plan, ours, theirs),
+        disagreements=_disagreements(plan, hollow_result, real_result),
     )
 
 
-def _disagreements(plan: RunPlan, ours: KindResult, theirs: KindResult) -> list[Disagreement]:
+def _disagreements(plan: RunPlan, hollow_result: KindResult, real_result: KindResult) -> list[Disagreement]:
     if not plan.paired:
         return []
-    return disagreements(ours.observed(), theirs.observed(), plan.bounds)
+    return disagreements(hollow_result.observation(), real_result.observation(), plan.bounds)
 
 
-def _hollow(
+def _hollow_result(
     plan: RunPlan,
-    seen: ProcessReports,
+    reports: ProcessReports,
     outages: Sequence[OutagePeriod],
     tallies: Mapping[str, GroupTally],
-    cpu: float,
+    cpu_s: float,
 ) -> KindResult:
-    taken = {me: seen.taken.get(me, []) for me in range(plan.hollow)}
-    placed = {me: Counter(counts) for tally in seen.hollow.values() for me, counts in tally.placed.items()}
+    applied = {number: reports.applied.get(number, []) for number in range(plan.hollow)}
+    placed = {
+        number: Counter(counts)
+        for tally in reports.hollow_tallies.values()
+        for number, counts in tally.placed.items()
+    }
     return KindResult(
         plan.hollow,
         [tally for group, tally in tallies.items() if group.startswith(HOLLOW_GROUP)],
-        measure_propagation(seen.changed, taken, seen.started, outages),
+        measure_propagation(reports.published, applied, reports.restarted_at, outages),
         placed,
-        cpu,
-        sum(tally.resident - tally.resident_before for tally in seen.hollow.values()),
+        cpu_s,
+        sum(tally.resident - tally.resident_before for tally in reports.hollow_tallies.values()),
     )
 
 
-def _real(
-    seen: ProcessReports,
+def _real_result(
+    reports: ProcessReports,
     outages: Sequence[OutagePeriod],
     tallies: Mapping[str, GroupTally],
-    cpu: float,
+    cpu_s: float,
     real: RealBalancers | None,
 ) -> KindResult:
     if real is None:
         return KindResult(0, [], PropagationStats(), {}, 0.0, 0)
-    logs = {me: real.logged(me) for me in real.balancers}
-    taken = {me: logged.taken for me, logged in logs.items()}
+    logs = {number: real.read_log(number) for number in real.balancers}
+    applied = {number: log.applied for number, log in logs.items()}
     return KindResult(
         len(logs),
         [tallies[REAL_GROUP]],
-        measure_propagation(seen.changed, taken, {}, outages),  # no story ends a real balancer
-        {me: logged.placed for me, logged in logs.items()},
-        cpu,
-        real.resident(),
+        measure_propagation(reports.published, applied, {}, outages),  # real balancers are never restarted
+        {number: log.placed for number, log in logs.items()},
+        cpu_s,
+        real.resident_bytes(),
     )
 
 
-def _outages(plan: RunPlan, begin: float) -> list[OutagePeriod]:
+def _outages(plan: RunPlan, begin_ms: float) -> list[OutagePeriod]:
     outage = plan.story.outage
     if outage is None:
         return []
-    began = begin + outage.at * 1_000.0
-    return [OutagePeriod(began, began + outage.lasts * 1_000.0)]
+    began = begin_ms + outage.start_s * 1_000.0
+    return [OutagePeriod(began, began + outage.duration_s * 1_000.0)]
 
 
-def _lateness(seen: ProcessReports, seconds: float) -> Lateness:
-    late = sorted(ms for tally in seen.hollow.values() for ms in tally.late_ms)
-    lost = max((tally.lost_ms for tally in seen.hollow.values()), default=0.0)
+def _lateness(reports: ProcessReports, seconds: float) -> Lateness:
+    delays_ms = sorted(ms for tally in reports.hollow_tallies.values() for ms in tally.late_ms)
+    lost_ms = max((tally.lost_ms for tally in reports.hollow_tallies.values()), default=0.0)
     return Lateness(
-        p99_ms=quantile(late, 0.99),
-        max_ms=late[-1] if late else 0.0,
-        lost_fraction=round(lost / 1_000.0 / seconds, 3),
+        p99_ms=quantile(delays_ms, 0.99),
+        max_ms=delays_ms[-1] if delays_ms else 0.0,
+        lost_fraction=round(lost_ms / 1_000.0 / seconds, 3),
     )
 
 
-def _not_held(plan: RunPlan, seen: ProcessReports, lateness: Lateness, real: RealBalancers | None) -> str:
-    """Why the size was not held; nothing where it was."""
-    running = sum(tally.running for tally in seen.hollow.values())
+def _failure_reason(
+    plan: RunPlan, reports: ProcessReports, lateness: Lateness, real: RealBalancers | None
+) -> str:
+    """Why the run does not count; empty if the fleet ran completely and on time."""
+    running = sum(tally.running for tally in reports.hollow_tallies.values())
     if running != plan.hollow:
         return f"{running} of {plan.hollow} hollow balancers are running"
     if real is not None and real.running != plan.real:
@@ -173,24 +183,27 @@
     return ""
 
 
-def _list_load(
-    seen: ProcessReports, tallies: Mapping[str, GroupTally], before: UsageSnapshot, after: UsageSnapshot
+def _list_service_load(
+    reports: ProcessReports, tallies: Mapping[str, GroupTally], before: UsageSnapshot, after: UsageSnapshot
 ) -> ListServiceLoad:
-    lists = seen.lists
-    assert lists is not None
-    seconds = (after.at - before.at) / 1_000.0
+    list_tally = reports.list_tally
+    assert list_tally is not None
+    seconds = (after.at_ms - before.at_ms) / 1_000.0
     calls = sum(tally.calls for tally in tallies.values())
-    first, last = int(before.at / 1_000.0), int(after.at / 1_000.0)
-    peak = max((n for second, n in lists.calls_by_second.items() if first < second <= last), default=0)
+    first_second, last_second = int(before.at_ms / 1_000.0), int(after.at_ms / 1_000.0)
+    peak = max(
+        (n for second, n in list_tally.calls_by_second.items() if first_second < second <= last_second),
+        default=0,
+    )
     return ListServiceLoad(
         calls=calls,
         calls_per_s=round(calls / seconds, 1),
         peak_calls_per_s=peak,
         sent_bytes=sum(tally.sent for tally in tallies.values()),
         received_bytes=sum(tally.received for tally in tallies.values()),
-        max_queued_calls=lists.queue_most,
-        reset_connections=lists.broken,
-        cpu_percent=round(100.0 * (after.lists_cpu - before.lists_cpu) / seconds, 2),
+        max_queued_calls=list_tally.queue_most,
+        reset_connections=list_tally.broken,
+        cpu_percent=round(100.0 * (after.list_service_cpu_s - before.list_service_cpu_s) / seconds, 2),
     )
 
 
@@ -198,27 +211,29 @@
     distribution: Distribution, tallies: Mapping[str, GroupTally], before: UsageSnapshot, after: UsageSnapshot
 ) -> list[RelayLoad]:
     return [
-        _one_relay(
+        _load_of_relay(
             relay,
             tallies[group].calls,
-            after.relay_cpu[number] - before.relay_cpu[number],
-            before.at,
-            after.at,
+            after.relay_cpu_s[number] - before.relay_cpu_s[number],
+            before.at_ms,
+            after.at_ms,
         )
         for number, (relay, group) in enumerate(zip(distribution.relays, distribution.groups, strict=True))
     ]
 
 
-def _one_relay(relay: RelayProcess, upstream: int, cpu: float, begin: float, end: float) -> RelayLoad:
-    told = relay.traffic(begin, end)
+def _load_of_relay(
+    relay: RelayProcess, upstream: int, cpu_s: float, begin_ms: float, end_ms: float
+) -> RelayLoad:
+    traffic = relay.traffic(begin_ms, end_ms)
     return RelayLoad(
-        cpu_percent=round(max(0.0, 100.0 * cpu / (end - begin) * 1_000.0), 2),
-        resident_mib=round(relay.resident() / (1 << 20), 1),
+        cpu_percent=round(max(0.0, 100.0 * cpu_s / (end_ms - begin_ms) * 1_000.0), 2),
+        resident_mib=round(relay.resident_bytes() / (1 << 20), 1),
         upstream_calls=upstream,
-        calls_per_s=None if told is None else round(told.calls, 1),
-        sent_bytes_per_s=None if told is None else round(told.sent, 1),
+        calls_per_s=None if traffic is None else round(traffic.calls_per_s, 1),
+        sent_bytes_per_s=None if traffic is None else round(traffic.sent_bytes_per_s, 1),
     )
 
 
-def _less(after: GroupTally, before: GroupTally) -> GroupTally:
+def _difference(after: GroupTally, before: GroupTally) -> GroupTally:
     return GroupTally(after.calls - before.calls, after.received - before.received, after.sent - before.sent)
--- a/puffinford/scale/distribution.py
+++ b/puffinford/scale/distribution.py
@@ -1,6 +1,6 @@
-"""How changes reach the balancers of a run: straight from the list service, or through relays.
+"""How a run distributes the server list to its balancers: directly from the list service, or through relays.
 
-All that a run knows of relays stands here: their command, their settings and those of balancers.
+Starts and configures the relay processes, and provides the balancers' settings that point to them.
 """
 
 from __future__ import annotations
@@ -16,40 +16,40 @@
 from pathlib import Path
 from typing import Protocol
 
-from puffinford.scale.pipes import cpu_seconds, resident
+from puffinford.scale.pipes import cpu_seconds, resident_bytes
 from puffinford.standins.balancer import free_port
 from puffinford.standins.listeners import HOST
 
-READY_MOST_S = 10.0
+READY_TIMEOUT_S = 10.0
 
 
 @dataclass(frozen=True)
 class Traffic:
-    """What one relay answered a second, over a time; bytes without those of TCP and IP."""
+    """Mean downstream traffic of one relay; bytes do not include TCP and IP headers."""
 
-    calls: float
-    sent: float
+    calls_per_s: float
+    sent_bytes_per_s: float
 
 
 class RelayNotListening(Exception):
-    """A relay does not run as it should; the text says which and where its log is."""
+    """A relay did not start to listen in time, or ended; the text names the relay and its log."""
 
 
 class Distribution(Protocol):
-    """Where balancers ask for the list."""
+    """The way of the list from the list service to the balancers."""
 
     name: str
-    groups: list[str]  # ports that the list service has to open for it, apart from those of the balancers
+    groups: list[str]  # of list service ports to open in addition to those of the balancers
     relays: list[RelayProcess]
 
     def start(self, addresses: Mapping[str, str]) -> None:
-        """Start what stands between; `addresses` are those of the list service's groups."""
+        """Start the relays, if any; `addresses` are those of the list service, by group."""
 
-    def operators(self) -> str:
-        """What balancers have in their operators' file."""
+    def operator_settings(self) -> str:
+        """The text of the balancers' settings file."""
 
     def stop(self) -> None:
-        """End what was started."""
+        """Stop the relays, if any."""
 
 
 class DirectDistribution:
@@ -62,17 +62,17 @@
         self.relays: list[RelayProcess] = []
 
     def start(self, addresses: Mapping[str, str]) -> None:
-        """Nothing stands between."""
+        """Nothing to start."""
 
-    def operators(self) -> str:
+    def operator_settings(self) -> str:
         return ""
 
     def stop(self) -> None:
-        """Nothing was started."""
+        """Nothing to stop."""
 
 
 class RelayProcess:
-    """A process of `puffinford relay` with an address that it keeps over restarts."""
+    """A process of `puffinford relay` that keeps its address over restarts."""
 
     def __init__(self, name: str, directory: Path) -> None:
         self.name = name
@@ -83,70 +83,70 @@
 
     @property
     def address(self) -> str:
-        """HOST:PORT where it serves the list."""
+        """HOST:PORT at which it serves the list."""
         return f"{HOST}:{self.port}"
 
     @property
     def running(self) -> bool:
-        """Whether the process is there."""
+        """Whether the process is running."""
         return self._process is not None and self._process.poll() is None
 
     def configure(self, upstream: str) -> None:
-        """Write its settings."""
+        """Write the settings file; `upstream` is HOST:PORT of the list service."""
         self._settings.write_text(f"section relay\n    listen {self.address}\n    upstream {upstream}\n")
 
     def start(self) -> None:
-        """Start it, or start it again after its end."""
-        words = [sys.executable, "-m", "puffinford", "relay", "--settings", str(self._settings)]
+        """Start or restart the process."""
+        command = [sys.executable, "-m", "puffinford", "relay", "--settings", str(self._settings)]
         with open(self.log, "ab") as log:
-            self._process = subprocess.Popen(words, stdout=log, stderr=log)
+            self._process = subprocess.Popen(command, stdout=log, stderr=log)
 
     def wait_until_listening(self) -> None:
-        """Raises NotDistributed where it does not come up."""
-        end = time.monotonic() + READY_MOST_S
-        while time.monotonic() < end and self.running:
+        """Wait until the relay accepts connections; raises RelayNotListening after `READY_TIMEOUT_S`."""
+        deadline = time.monotonic() + READY_TIMEOUT_S
+        while time.monotonic() < deadline and self.running:
             with socket.socket() as sock:
                 sock.settimeout(0.2)
                 if sock.connect_ex((HOST, self.port)) == 0:
                     return
             time.sleep(0.02)
-        raise RelayNotListening(f"{self.name} does not listen; see {self.log}")
+        raise RelayNotListening(f"{self.name} is not listening, see {self.log}")
 
     def signal(self, signum: int) -> None:
-        """Send the process a signal, where it runs."""
+        """Send a signal to the process if it is running."""
         if self._process is not None and self.running:
             self._process.send_signal(signum)
 
     def kill(self) -> None:
-        """End it at once."""
+        """Kill the process and wait for its end."""
         if self._process is not None:
             self.signal(signal.SIGKILL)
             self._process.wait()
 
-    def traffic(self, begin: float, end: float) -> Traffic | None:
-        """By the figures that it logs, between two Unix ms; None where it logged fewer than two."""
-        told = []
+    def traffic(self, begin_ms: float, end_ms: float) -> Traffic | None:
+        """Mean traffic between two Unix times by the logged counters; None with too few samples."""
+        samples = []
         for line in self.log.read_text(errors="replace").splitlines():
             if " event=figures " in line:
                 values = dict(word.partition("=")[::2] for word in shlex.split(line))
-                told.append((float(values["t"]), int(values["calls"]), int(values["bytes"])))
-        told = [one for one in told if begin <= one[0] * 1_000.0 <= end]
-        if len(told) < 2 or told[-1][1] < told[0][1]:  # fewer calls: it was started again
+                samples.append((float(values["t"]), int(values["calls"]), int(values["bytes"])))
+        samples = [sample for sample in samples if begin_ms <= sample[0] * 1_000.0 <= end_ms]
+        if len(samples) < 2 or samples[-1][1] < samples[0][1]:  # counters reset by a restart
             return None
-        seconds = told[-1][0] - told[0][0]
-        return Traffic((told[-1][1] - told[0][1]) / seconds, (told[-1][2] - told[0][2]) / seconds)
+        seconds = samples[-1][0] - samples[0][0]
+        return Traffic((samples[-1][1] - samples[0][1]) / seconds, (samples[-1][2] - samples[0][2]) / seconds)
 
-    def cpu(self) -> float:
-        """Seconds of CPU that its process has taken; 0 where it is gone."""
+    def cpu_s(self) -> float:
+        """CPU time of the process; 0 if it is not running."""
         return cpu_seconds(self._process.pid) if self._process is not None and self.running else 0.0
 
-    def resident(self) -> int:
-        """Bytes of memory that its process holds; 0 where it is gone."""
-        return resident(self._process.pid) if self._process is not None and self.running else 0
+    def resident_bytes(self) -> int:
+        """Resident memory of the process; 0 if it is not running."""
+        return resident_bytes(self._process.pid) if self._process is not None and self.running else 0
 
 
 class RelayDistribution:
-    """Relays watch the list service, and balancers watch relays."""
+    """Relays watch the list service, and balancers watch the relays."""
 
     name = "relays"
 
@@ -161,7 +161,7 @@
         for relay in self.relays:
             relay.wait_until_listening()
 
-    def operators(self) -> str:
+    def operator_settings(self) -> str:
         return "section discovery\n    relays " + ",".join(relay.address for relay in self.relays) + "\n"
 
     def stop(self) -> None:
@@ -169,6 +169,6 @@
             relay.kill()
 
 
-def distribution(relays: int, directory: Path) -> Distribution:
-    """Through so many relays; 0: straight from the list service."""
+def make_distribution(relays: int, directory: Path) -> Distribution:
+    """Distribution through this number of relays; without relays, directly from the list service."""
     return RelayDistribution(relays, directory) if relays else DirectDistribution()
--- a/puffinford/scale/hollow_balancer.py
+++ b/puffinford/scale/hollow_balancer.py
@@ -1,8 +1,8 @@
-"""One hollow balancer: the program's own list client, staleness, backoff and decisions, without fronts.
+"""A hollow balancer: the real list client and exchange, with in-memory clients and servers.
 
 `ListClient` (with `DiscoveryWatch` and `ListGuard`) and `Exchange` (with `Balancer`) are the classes that
-`serve` runs. Left out are fronts, the second address, the store, rebalancing and versions: a hollow balancer
-that is started again knows nothing and asks for the whole list.
+`serve` runs. Fronts, the management address, stored state and rebalancing are left out, so a restarted hollow
+balancer requests a full list.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from puffinford.core.values import Opening, ServerEntries
 from puffinford.interface import Settings
 from puffinford.operators import OperatorSettings
-from puffinford.scale.arrivals import Arrival, ConnectionOutcome, arrivals, live
+from puffinford.scale.arrivals import Arrival, ConnectionOutcome, generate_arrivals, run_client
 from puffinford.scale.hollow_connections import HollowClientConnection, HollowServerConnector
 from puffinford.scale.messages import ClientWorkload, HollowSpec, Skip
 from puffinford.server_list.endpoints import rendezvous_order
@@ -28,43 +28,43 @@
 from puffinford.state.keeper import weights
 from puffinford.state.list_client import ListClient
 
-Recorded = Callable[[int, int], None]  # balancer and version, at the moment of the call
+VersionRecorder = Callable[[int, int], None]  # called with the balancer's number and the applied version
 
 
 class ListRecorder:
-    """Between list client and exchange: notes when a version is in force, once the exchange has taken it."""
+    """Passes lists from the list client to the exchange and records each version once it is applied."""
 
-    def __init__(self, exchange: Exchange, me: int, record: Recorded, skip: Skip) -> None:
+    def __init__(self, exchange: Exchange, number: int, record: VersionRecorder, skip: Skip) -> None:
         self._exchange = exchange
-        self._me = me
+        self._number = number
         self._record = record
-        self._skip = skip is Skip.LISTS
-        self._lists = 0
-        self.informed = anyio.Event()  # a list is in force
-
-    def take_list(self, machines: ServerEntries | None) -> None:
-        """Pass on a list, or the failure of a call (None)."""
-        if machines is not None:
-            self._lists += 1
-            if self._skip and self._lists % 2 == 0:
+        self._skips_lists = skip is Skip.LISTS
+        self._lists_received = 0
+        self.list_applied = anyio.Event()  # set once a list has been applied
+
+    def take_list(self, entries: ServerEntries | None) -> None:
+        """Pass on a list, or None for a failed call."""
+        if entries is not None:
+            self._lists_received += 1
+            if self._skips_lists and self._lists_received % 2 == 0:
                 return
-        self._exchange.take_list(machines)
-        if machines is not None:
-            self.informed.set()
-            self._record(self._me, machines.version)
+        self._exchange.take_list(entries)
+        if entries is not None:
+            self.list_applied.set()
+            self._record(self._number, entries.version)
 
 
 class HollowTotals:
-    """What hollow balancers of a process have come to, over the restarts of each."""
+    """Counters of all hollow balancers of a process, kept over their restarts."""
 
     def __init__(self) -> None:
-        self.placed: dict[int, Counter[str]] = {}
+        self.placed: dict[int, Counter[str]] = {}  # established connections by balancer and server
         self.refused = 0
         self.moved = 0
 
 
 class PlacementCounter:
-    """The exchange's watcher: counts connections that came up, by server."""
+    """Observer of the exchange that counts established connections by server."""
 
     def __init__(self, placed: Counter[str]) -> None:
         self._placed = placed
@@ -73,91 +73,91 @@
         self._placed[server] += 1
 
     def on_refused(self, key: int, cls: str, *, failed: bool) -> None:
-        """Counted by the client's outcome."""
+        """Refusals are counted by the client's outcome."""
 
     def on_closed(self, key: int, cls: str, server: str, stood: float, *, cut: bool) -> None:
         """Not counted."""
 
     def on_delay(self, server: str, delay: float) -> None:
-        """Hollow servers are never late."""
+        """Hollow servers send no messages."""
 
 
 class HollowBalancer:
-    """One balancer from its start to its kill; `me` is its number in the fleet."""
+    """One balancer from its start until it is killed; `number` identifies it in the fleet."""
 
     def __init__(
         self,
         spec: HollowSpec,
-        me: int,
+        number: int,
         settings: Settings,
         operators: OperatorSettings,
         clock: Clock,
-        record: Recorded,
+        record: VersionRecorder,
         totals: HollowTotals,
     ) -> None:
         self._spec = spec
-        self._me = me
+        self._number = number
         self._clock = clock
         self._totals = totals
-        seed = balancer_seed(spec.seed, me)
+        seed = balancer_seed(spec.seed, number)
         self._servers = HollowServerConnector(clock, random.Random(seed), spec.set_up_ms, spec.dead)
-        sides = {"lines": self._servers, "channels": self._servers}
-        self._exchange = Exchange(settings, seed, clock, sides)
-        placed = totals.placed.setdefault(me, Counter())
+        connectors = {"lines": self._servers, "channels": self._servers}
+        self._exchange = Exchange(settings, seed, clock, connectors)
+        placed = totals.placed.setdefault(number, Counter())
         self._exchange.observer = PlacementCounter(placed)
-        start = recovery.merge(None, None, clock.now(), 0.0, weights(operators.state), 0.0)
-        self._recorder = ListRecorder(self._exchange, me, record, spec.skip)
-        self._list = ListClient(self._recorder, start, clock, lambda machines: None)
-        discovery = parse_address(spec.discovery[me - spec.first])
+        restored = recovery.merge(None, None, clock.now(), 0.0, weights(operators.state), 0.0)
+        self._recorder = ListRecorder(self._exchange, number, record, spec.skip)
+        self._list_client = ListClient(self._recorder, restored, clock, lambda entries: None)
+        discovery = parse_address(spec.discovery[number - spec.first])
         always_subscribed = not settings.list_on_request
-        relays = rendezvous_order(balancer_name(me), operators.discovery.relays)
-        self._list.watch(discovery, always_subscribed=always_subscribed, seed=seed, relays=relays)
+        relays = rendezvous_order(balancer_name(number), operators.discovery.relays)
+        self._list_client.watch(discovery, always_subscribed=always_subscribed, seed=seed, relays=relays)
 
     @property
-    def informed(self) -> anyio.Event:
-        """Set once a list is in force."""
-        return self._recorder.informed
+    def list_applied(self) -> anyio.Event:
+        """Set once a list has been applied."""
+        return self._recorder.list_applied
 
     async def run(self) -> None:
         """Watch the list until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._exchange.run, self._list.source, self._list.restored)
-            tasks.start_soon(self._list.source.run)
+            tasks.start_soon(self._exchange.run, self._list_client.source, self._list_client.restored)
+            tasks.start_soon(self._list_client.source.run)
 
-    async def serve_crowd(self, begin: float, end: float) -> None:
-        """Serve the balancer's clients that come between two moments on the clock.
+    async def serve_clients(self, begin_ms: float, end_ms: float) -> None:
+        """Run the clients that arrive between two times of the clock.
 
-        One that is started later serves those that come from now on.
+        Clients that arrived before a restart of the balancer are skipped.
         """
-        crowd = self._spec.crowd
+        workload = self._spec.crowd
         async with anyio.create_task_group() as tasks:
-            for arrival in arrivals(crowd, self._spec.seed, self._me):
-                due = begin + arrival.after
-                if due >= end:
+            for arrival in generate_arrivals(workload, self._spec.seed, self._number):
+                arrives_at = begin_ms + arrival.after_ms
+                if arrives_at >= end_ms:
                     return
-                if due < self._clock.now() - 1_000.0:
+                if arrives_at < self._clock.now() - 1_000.0:
                     continue
-                await self._clock.sleep(due - self._clock.now())
-                tasks.start_soon(self._live, arrival, crowd)
+                await self._clock.sleep(arrives_at - self._clock.now())
+                tasks.start_soon(self._run_client, arrival, workload)
 
-    async def _live(self, arrival: Arrival, crowd: ClientWorkload) -> None:
-        await live(arrival, crowd, self._me, self._clock, self._connect)
+    async def _run_client(self, arrival: Arrival, workload: ClientWorkload) -> None:
+        await run_client(arrival, workload, self._number, self._clock, self._connect)
 
-    async def _connect(self, opening: Opening, life: float) -> ConnectionOutcome:
+    async def _connect(self, opening: Opening, life_ms: float) -> ConnectionOutcome:
         if self._spec.skip is Skip.PLACING:
             return ConnectionOutcome.REFUSED
-        client = HollowClientConnection(self._clock, life)
+        client = HollowClientConnection(self._clock, life_ms)
         await self._exchange.serve(opening, client)
         self._totals.refused += client.outcome is ConnectionOutcome.REFUSED
         self._totals.moved += client.outcome is ConnectionOutcome.MOVED
         return client.outcome
 
 
-def balancer_seed(seed: int, me: int) -> int:
-    """The seed of one balancer, hollow or real."""
-    return (seed * 1_000_003 + me) & 0xFFFFFFFF
+def balancer_seed(seed: int, number: int) -> int:
+    """The random seed of a hollow or real balancer."""
+    return (seed * 1_000_003 + number) & 0xFFFFFFFF
 
 
-def balancer_name(me: int) -> str:
-    """The name of one balancer, hollow or real, by which it prefers one relay."""
-    return f"b{me}"
+def balancer_name(number: int) -> str:
+    """The name of a hollow or real balancer, which determines its order of relays."""
+    return f"b{number}"
--- a/puffinford/scale/hollow_connections.py
+++ b/puffinford/scale/hollow_connections.py
@@ -1,4 +1,4 @@
-"""The two sides of a hollow balancer: no sockets, and the exchange between them is the program's own."""
+"""In-memory client and server connections of a hollow balancer, in place of the sockets of a front."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class HollowServerConnection:
-    """A server's connection that says nothing until the client has ended its side."""
+    """An established server connection that sends nothing and ends when the client ends."""
 
     __slots__ = ("_ended",)
 
@@ -36,7 +36,7 @@
         raise PeerClosed
 
     async def send(self, message: Message) -> None:
-        """Nothing is answered: clients of a scale run stand in rest."""
+        """Discard the message; clients of a scale run are idle."""
 
     async def end_sending(self) -> None:
         self._ended.set()
@@ -49,12 +49,12 @@
 
 
 class HollowServerConnector:
-    """A server side without sockets: an attempt comes up after a drawn delay, or fails at a dead server."""
+    """Establishes server connections after a random delay; an attempt at a dead server fails."""
 
     def __init__(
         self, clock: Clock, rng: random.Random, set_up: tuple[float, float], dead: Collection[str]
     ) -> None:
-        """`set_up` are the least and the most ms that an attempt takes."""
+        """`set_up` is the range of the delay of an attempt, in ms."""
         self._clock = clock
         self._rng = rng
         self._set_up = set_up
@@ -83,24 +83,24 @@
 
 
 class HollowClientConnection:
-    """A client that arrives as the exchange's own event, stays for its life and sends nothing."""
+    """A client that sends nothing and closes `life_ms` after it was established."""
 
-    __slots__ = ("_clock", "_life", "_up", "outcome")
+    __slots__ = ("_clock", "_life_ms", "_up", "outcome")
 
-    def __init__(self, clock: Clock, life: float) -> None:
+    def __init__(self, clock: Clock, life_ms: float) -> None:
         self.outcome = ConnectionOutcome.BROKEN
         self._clock = clock
-        self._life = life
+        self._life_ms = life_ms
         self._up = anyio.Event()
 
     async def receive(self) -> Message:
         await self._up.wait()
-        await self._clock.sleep(self._life)
+        await self._clock.sleep(self._life_ms)
         self.outcome = ConnectionOutcome.DONE
         raise PeerClosed
 
     async def send(self, message: Message) -> None:
-        """Nothing is answered."""
+        """Discard the message."""
 
     async def has_left(self) -> bool:
         return False
@@ -115,10 +115,10 @@
         self.outcome = ConnectionOutcome.MOVED
 
     async def end_sending(self) -> None:
-        """There is no connection."""
+        """Nothing to close."""
 
     async def end(self) -> None:
-        """There is no connection."""
+        """Nothing to close."""
 
     async def abort(self) -> None:
-        """There is no connection."""
+        """Nothing to close."""
--- a/puffinford/scale/hollow_process.py
+++ b/puffinford/scale/hollow_process.py
@@ -1,7 +1,7 @@
 """A process of many hollow balancers: `python -m puffinford.scale.hollow_process`, started by the driver.
 
-The first line of standard input is its `HollowSpec`; further lines are commands. What is to be told goes to
-standard output. It ends with its input.
+Reads its `HollowSpec` and then commands as JSON lines from standard input, and writes reports to standard
+output. Ends when its input is closed.
 """
 
 from __future__ import annotations
@@ -33,153 +33,151 @@
     ToHollow,
     decode,
 )
-from puffinford.scale.pipes import lines_from, resident, tell
+from puffinford.scale.pipes import read_lines, resident_bytes, send_to_driver
 from puffinford.scale.shared_clock import SharedClock
 
-TELL_EVERY = 200.0  # ms between batches of versions that came into force
-LATE_EVERY = 100.0  # ms between looks at how late the loop is
-# Objects between collections of garbage: with the usual 700 they take a seventh of the time of 250 balancers.
-COLLECT_AFTER = (20_000, 50, 100)
+REPORT_INTERVAL_MS = 200.0  # between reports to the driver
+LATENESS_INTERVAL_MS = 100.0  # between measurements of the event loop's lateness
+GC_THRESHOLDS = (20_000, 50, 100)  # arguments of gc.set_threshold: collects less often than by default
 
 log = logging.getLogger(__name__)
 
 
 class HollowProcess:
-    """The balancers of one process, each in a task group of its own that a kill cancels."""
+    """Runs the hollow balancers of one process, each in a task group that a kill cancels."""
 
     def __init__(self, spec: HollowSpec, clock: SharedClock) -> None:
         self._spec = spec
         self._clock = clock
         self._settings = decode_settings(spec.settings)
-        self._operators = _operators(spec.operators)
+        self._operator_settings = _load_operator_settings(spec.operators)
         self._totals = HollowTotals()
         self._running: dict[int, tuple[HollowBalancer, anyio.CancelScope]] = {}
-        self._down: dict[int, float] = {}  # ms that a killed balancer stays down
-        self._in_force: list[tuple[int, int, float]] = []
-        self._started: list[tuple[int, float]] = []
-        self._begun = anyio.Event()
-        self._starting = anyio.Semaphore(spec.starting_most)
-        self._crowd_at = (0.0, 0.0)
-        self._late: list[float] = []
-        self._lost_before = 0.0
-        self._before = resident()
+        self._down_ms: dict[int, float] = {}  # time until the restart, by killed balancer
+        self._applied: list[tuple[int, int, float]] = []
+        self._restarts: list[tuple[int, float]] = []
+        self._story_begun = anyio.Event()
+        self._start_slots = anyio.Semaphore(spec.starting_most)
+        self._client_period = (0.0, 0.0)
+        self._lateness_ms: list[float] = []
+        self._lost_at_begin_ms = 0.0
+        self._initial_resident_bytes = resident_bytes()
 
     async def run(self, commands: AsyncIterator[bytes]) -> None:
-        """Run the balancers and obey until the end."""
+        """Run the balancers and handle commands until `Finish` or the end of the input."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._clock.run)
             tasks.start_soon(self._start_all, tasks)
-            tasks.start_soon(self._tell_all)
+            tasks.start_soon(self._report_periodically)
             tasks.start_soon(self._measure_lateness)
-            await self._obey(commands, tasks)
+            await self._handle_commands(commands, tasks)
             tasks.cancel_scope.cancel()
 
-    async def _obey(self, commands: AsyncIterator[bytes], tasks: anyio.abc.TaskGroup) -> None:
+    async def _handle_commands(self, commands: AsyncIterator[bytes], tasks: anyio.abc.TaskGroup) -> None:
         async for line in commands:
             command: ToHollow = decode(line, ToHollow)
             match command:
                 case Begin():
-                    # Guards the loop against long collections over what now stays to the end.
+                    # Excludes long-lived objects from later collections, which would delay the loop.
                     gc.collect()
                     gc.freeze()
-                    self._late.clear()
-                    self._lost_before = self._clock.lost
-                    self._crowd_at = (command.at, command.end)
-                    self._begun.set()
+                    self._lateness_ms.clear()
+                    self._lost_at_begin_ms = self._clock.lost_ms
+                    self._client_period = (command.at, command.end)
+                    self._story_begun.set()
                 case Kill():
                     tasks.start_soon(self._kill, command)
                 case Finish():
-                    self._tell_in_force()
-                    tell(self._tally(whole=True))
+                    self._report_applied()
+                    send_to_driver(self._tally(complete=True))
                     return
 
     async def _start_all(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Start balancers as fast as they get their first lists.
+        """Start the balancers, with at most `starting_most` waiting for their first list at a time.
 
-        Guards the start against itself: with all at once the loop is late, calls beside late ones are made,
-        and their answers make it later still.
+        Prevents a start of all at once from delaying the event loop, which would cause additional calls.
         """
         for number in range(self._spec.count):
-            await self._starting.acquire()
-            tasks.start_soon(self._keep, self._spec.first + number)
+            await self._start_slots.acquire()
+            tasks.start_soon(self._run_balancer, self._spec.first + number)
 
-    async def _keep(self, me: int) -> None:
-        """One balancer of the fleet, started again after each kill."""
-        first = True
+    async def _run_balancer(self, number: int) -> None:
+        """Run one balancer and restart it after each kill."""
+        is_first_start = True
         while True:
             balancer = HollowBalancer(
                 self._spec,
-                me,
-                replace(self._settings, me=me),
-                self._operators,
+                number,
+                replace(self._settings, me=number),
+                self._operator_settings,
                 self._clock,
                 self._record,
                 self._totals,
             )
             with anyio.CancelScope() as scope:
-                self._running[me] = (balancer, scope)
+                self._running[number] = (balancer, scope)
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(balancer.run)
-                    if first:
-                        await balancer.informed.wait()
-                        self._starting.release()
-                        first = False
-                    await self._begun.wait()
-                    await balancer.serve_crowd(*self._crowd_at)
-            del self._running[me], balancer
-            await self._clock.sleep(self._down.pop(me, 0.0))
-            self._started.append((me, self._clock.true_now()))
+                    if is_first_start:
+                        await balancer.list_applied.wait()
+                        self._start_slots.release()
+                        is_first_start = False
+                    await self._story_begun.wait()
+                    await balancer.serve_clients(*self._client_period)
+            del self._running[number], balancer
+            await self._clock.sleep(self._down_ms.pop(number, 0.0))
+            self._restarts.append((number, self._clock.unadjusted_now()))
 
     async def _kill(self, command: Kill) -> None:
-        await anyio.sleep(max(0.0, command.at - self._clock.true_now()) / 1_000.0)
-        for me in command.balancers:
-            running = self._running.get(me)
+        await anyio.sleep(max(0.0, command.at - self._clock.unadjusted_now()) / 1_000.0)
+        for number in command.balancers:
+            running = self._running.get(number)
             if running is not None:
-                self._down[me] = command.down_ms
+                self._down_ms[number] = command.down_ms
                 running[1].cancel()
 
-    def _record(self, me: int, version: int) -> None:
-        self._in_force.append((me, version, self._clock.true_now()))
+    def _record(self, number: int, version: int) -> None:
+        self._applied.append((number, version, self._clock.unadjusted_now()))
 
-    async def _tell_all(self) -> None:
+    async def _report_periodically(self) -> None:
         while True:
-            await anyio.sleep(TELL_EVERY / 1_000.0)
-            self._tell_in_force()
-            tell(self._tally())
-
-    def _tell_in_force(self) -> None:
-        if self._started:
-            tell(Started(self._started))
-            self._started = []
-        if self._in_force:
-            tell(InForce(self._in_force))
-            self._in_force = []
-
-    def _tally(self, *, whole: bool = False) -> HollowTally:
-        """The figures of a moment; with all that is large only where it is `whole`."""
-        placed = self._totals.placed if whole else {}
+            await anyio.sleep(REPORT_INTERVAL_MS / 1_000.0)
+            self._report_applied()
+            send_to_driver(self._tally())
+
+    def _report_applied(self) -> None:
+        if self._restarts:
+            send_to_driver(Started(self._restarts))
+            self._restarts = []
+        if self._applied:
+            send_to_driver(InForce(self._applied))
+            self._applied = []
+
+    def _tally(self, *, complete: bool = False) -> HollowTally:
+        """Current counters; placements and latenesses are included only if `complete`."""
+        placed = self._totals.placed if complete else {}
         return HollowTally(
             running=len(self._running),
-            informed=sum(balancer.informed.is_set() for balancer, _ in self._running.values()),
-            placed={me: dict(counts) for me, counts in placed.items()},
+            informed=sum(balancer.list_applied.is_set() for balancer, _ in self._running.values()),
+            placed={number: dict(counts) for number, counts in placed.items()},
             refused=self._totals.refused,
             moved=self._totals.moved,
             cpu_s=time.process_time(),
-            resident=resident(),
-            resident_before=self._before,
-            late_ms=self._late if whole else [],
-            lost_ms=self._clock.lost - self._lost_before,
+            resident=resident_bytes(),
+            resident_before=self._initial_resident_bytes,
+            late_ms=self._lateness_ms if complete else [],
+            lost_ms=self._clock.lost_ms - self._lost_at_begin_ms,
         )
 
     async def _measure_lateness(self) -> None:
-        """Guards a run against a machine that cannot carry it: figures of a loop that is late are its own."""
+        """Record the event loop's lateness, which distorts the propagation times of an overloaded host."""
         while True:
-            due = self._clock.true_now() + LATE_EVERY
-            await anyio.sleep(LATE_EVERY / 1_000.0)
-            self._late.append(round(self._clock.true_now() - due, 1))
+            expected_at = self._clock.unadjusted_now() + LATENESS_INTERVAL_MS
+            await anyio.sleep(LATENESS_INTERVAL_MS / 1_000.0)
+            self._lateness_ms.append(round(self._clock.unadjusted_now() - expected_at, 1))
 
 
-def _operators(text: str) -> OperatorSettings:
+def _load_operator_settings(text: str) -> OperatorSettings:
     with tempfile.TemporaryDirectory() as directory:
         path = Path(directory, "operators.conf")
         path.write_text(text)
@@ -187,12 +185,12 @@
 
 
 async def _main() -> None:
-    commands = lines_from(sys.stdin.fileno())
+    commands = read_lines(sys.stdin.fileno())
     spec: HollowSpec = decode(await anext(commands), HollowSpec)
     await HollowProcess(spec, SharedClock()).run(commands)
 
 
 if __name__ == "__main__":
     set_up("ERROR")
-    gc.set_threshold(*COLLECT_AFTER)
+    gc.set_threshold(*GC_THRESHOLDS)
     anyio.run(_main)
--- a/puffinford/scale/list_service_process.py
+++ b/puffinford/scale/list_service_process.py
@@ -1,6 +1,7 @@
-"""The list service of a scale run as a process of its own: `python -m puffinford.scale.list_service_process`.
+"""The list service of a scale run: `python -m puffinford.scale.list_service_process`, started by the driver.
 
-The first line of standard input is its `ListServiceSpec`; further lines are commands. It ends with its input.
+Reads its `ListServiceSpec` and then commands as JSON lines from standard input, and writes reports to
+standard output. Ends when its input is closed.
 """
 
 from __future__ import annotations
@@ -28,14 +29,14 @@
     ToListService,
     decode,
 )
-from puffinford.scale.pipes import lines_from, tell
+from puffinford.scale.pipes import read_lines, send_to_driver
 from puffinford.standins.lists import ListService
 
-TELL_EVERY_S = 0.5
+REPORT_INTERVAL_S = 0.5
 
 
-class ListProcess:
-    """The service and the commands that change it."""
+class ListServiceProcess:
+    """Runs the list service and applies the driver's commands to it."""
 
     def __init__(self, spec: ListServiceSpec) -> None:
         self._spec = spec
@@ -44,55 +45,57 @@
             self._service.put(str(entry["id"]), **{name: entry[name] for name in entry if name != "id"})
 
     async def run(self, commands: AsyncIterator[bytes]) -> None:
-        """Serve and obey until the end."""
-        tell(Listening(await self._service.open(self._spec.groups)))
+        """Serve and handle commands until `Finish` or the end of the input."""
+        send_to_driver(Listening(await self._service.open(self._spec.groups)))
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._tell_all)
+            tasks.start_soon(self._report_periodically)
             async for line in commands:
                 command: ToListService = decode(line, ToListService)
                 match command:
                     case Plan():
                         for change in command.changes:
-                            self._at(change.at, change)
+                            self._schedule(change.at, change)
                     case ResetWatches():
-                        tasks.start_soon(self._reset, command)
+                        tasks.start_soon(self._reset_watches, command)
                     case Outage():
-                        tasks.start_soon(self._be_out, command)
+                        tasks.start_soon(self._take_down, command)
                     case Cut():
                         tasks.start_soon(self._cut, command)
                     case Finish():
-                        tell(self._tally())
+                        send_to_driver(self._tally())
                         break
             tasks.cancel_scope.cancel()
 
-    def _at(self, at: float, change: Change) -> None:
-        asyncio.get_running_loop().call_later(max(0.0, at / 1_000.0 - time.time()), self._change, change)
+    def _schedule(self, at_ms: float, change: Change) -> None:
+        asyncio.get_running_loop().call_later(
+            max(0.0, at_ms / 1_000.0 - time.time()), self._apply_change, change
+        )
 
-    def _change(self, change: Change) -> None:
-        at = time.time() * 1_000.0
+    def _apply_change(self, change: Change) -> None:
+        at_ms = time.time() * 1_000.0
         version = self._service.put(change.ident, state=change.state, weight=change.weight)
-        tell(Changed(version, at))
+        send_to_driver(Changed(version, at_ms))
 
-    async def _reset(self, command: ResetWatches) -> None:
-        await _until(command.at)
+    async def _reset_watches(self, command: ResetWatches) -> None:
+        await _sleep_until(command.at)
         self._service.break_all()
 
-    async def _be_out(self, command: Outage) -> None:
-        await _until(command.at)
+    async def _take_down(self, command: Outage) -> None:
+        await _sleep_until(command.at)
         self._service.close()
         await anyio.sleep(command.for_ms / 1_000.0)
         await self._service.open(self._spec.groups)
 
     async def _cut(self, command: Cut) -> None:
-        await _until(command.at)
+        await _sleep_until(command.at)
         self._service.silent.add(command.group)
         await anyio.sleep(command.for_ms / 1_000.0)
         self._service.silent.discard(command.group)
 
-    async def _tell_all(self) -> None:
+    async def _report_periodically(self) -> None:
         while True:
-            await anyio.sleep(TELL_EVERY_S)
-            tell(self._tally())
+            await anyio.sleep(REPORT_INTERVAL_S)
+            send_to_driver(self._tally())
 
     def _tally(self) -> ListTally:
         groups = {
@@ -108,14 +111,14 @@
         )
 
 
-async def _until(at: float) -> None:
-    await anyio.sleep(max(0.0, at / 1_000.0 - time.time()))
+async def _sleep_until(at_ms: float) -> None:
+    await anyio.sleep(max(0.0, at_ms / 1_000.0 - time.time()))
 
 
 async def _main() -> None:
-    commands = lines_from(sys.stdin.fileno())
+    commands = read_lines(sys.stdin.fileno())
     spec: ListServiceSpec = decode(await anext(commands), ListServiceSpec)
-    await ListProcess(spec).run(commands)
+    await ListServiceProcess(spec).run(commands)
 
 
 if __name__ == "__main__":
--- a/puffinford/scale/messages.py
+++ b/puffinford/scale/messages.py
@@ -1,6 +1,6 @@
-"""What the driver of a scale run and its processes say to each other: one JSON message a line.
+"""The messages between the driver of a scale run and its processes: one JSON object per line.
 
-Times are Unix milliseconds unless a name says otherwise.
+Times of events are in Unix milliseconds.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 
 
 class Skip(Enum):
-    """Work that a hollow balancer leaves out on purpose, so that the agreement check can be checked."""
+    """Work that a hollow balancer omits, to test that the comparison with real balancers detects it."""
 
     NOTHING = "nothing"
-    LISTS = "lists"  # every second list is not given to the exchange
-    PLACING = "placing"  # arrivals are not given to the exchange
+    LISTS = "lists"  # drops every second list
+    PLACING = "placing"  # refuses all clients without a request
 
 
 class ClientWorkload(msgspec.Struct, frozen=True, kw_only=True):
-    """The clients of each balancer: open loop, drawn from the run's seed and the balancer's number."""
+    """The simulated clients of each balancer: an open-loop Poisson process."""
 
-    rate: float = 0.0  # arrivals a second at each balancer
-    life_ms: float = 20_000.0  # mean time that a client stays
-    wait_ms: float = 2_000.0  # what it gives its balancer to bring it up
-    groups: int = 1_000_000  # groups that the clients of all balancers belong to
-    cls: str = "till"
+    rate: float = 0.0  # arrivals per second at each balancer
+    life_ms: float = 20_000.0  # mean lifetime of a client
+    wait_ms: float = 2_000.0  # a client's time limit for its connection to be established
+    groups: int = 1_000_000  # number of client groups, shared by all balancers
+    cls: str = "till"  # request class
 
 
-# What a process is started with
+# Specifications, the first message to a process
 
 
 class HollowSpec(msgspec.Struct, frozen=True, kw_only=True):
@@ -38,36 +38,36 @@
     first: int
     count: int
     seed: int
-    settings: dict[str, Any]  # as the platform tells them; `me` is each balancer's own
-    discovery: list[str]  # HOST:PORT of each balancer's list service or relay, in the order of the balancers
-    operators: str = ""  # the text of the operators' file
+    settings: dict[str, Any]  # balancer settings; each balancer replaces `me` by its number
+    discovery: list[str]  # HOST:PORT of each balancer's list service, in order of number
+    operators: str = ""  # text of the settings file
     crowd: ClientWorkload = ClientWorkload()
-    set_up_ms: tuple[float, float] = (0.0, 0.0)  # what an attempt takes at a server: drawn between these
-    dead: list[str] = []  # servers that take no connection
+    set_up_ms: tuple[float, float] = (0.0, 0.0)  # range of an attempt's delay
+    dead: list[str] = []  # ids of servers that accept no connection
     skip: Skip = Skip.NOTHING
-    starting_most: int = 32  # balancers that wait for their first list together, until all have begun
+    starting_most: int = 32  # limit of balancers that wait for their first list at a time
 
 
 class ListServiceSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """The stand-in list service: a port for each group, whose calls are counted together."""
+    """The stand-in list service, which listens on one port per group and counts calls by group."""
 
     groups: list[str]
-    servers: list[dict[str, Any]]  # entries of the list, each with `id` and `addr`
-    service_ms: float = 0.0  # the time that one call takes; calls are answered one at a time
+    servers: list[dict[str, Any]]  # server list entries, each with `id` and `addr`
+    service_ms: float = 0.0  # processing time of one call; calls are processed one at a time
 
 
-# From the driver
+# Commands of the driver
 
 
 class Begin(msgspec.Struct, frozen=True, tag=True):
-    """Clients come from this moment on, until `end`."""
+    """Start the story: clients arrive from `at` until `end`."""
 
     at: float
     end: float
 
 
 class Kill(msgspec.Struct, frozen=True, tag=True):
-    """End these balancers at once, without a word to anybody, and start them anew `down_ms` later."""
+    """Kill these balancers at `at` and restart them `down_ms` later."""
 
     at: float
     balancers: list[int]
@@ -75,7 +75,7 @@
 
 
 class Change(msgspec.Struct, frozen=True, tag=True):
-    """At this moment the list service has an entry changed."""
+    """Change one entry of the server list at `at`."""
 
     at: float
     ident: str
@@ -84,26 +84,26 @@
 
 
 class Plan(msgspec.Struct, frozen=True, tag=True):
-    """Changes of the list, in order of time."""
+    """The list changes of the story, in order of time."""
 
     changes: list[Change]
 
 
 class ResetWatches(msgspec.Struct, frozen=True, tag=True):
-    """The list service breaks all its connections at this moment."""
+    """Reset all connections of the list service at `at`."""
 
     at: float
 
 
 class Outage(msgspec.Struct, frozen=True, tag=True):
-    """The list service refuses connections from this moment, and breaks those that it has."""
+    """Stop the list service at `at`: reset its connections and refuse new ones for `for_ms`."""
 
     at: float
     for_ms: float
 
 
 class Cut(msgspec.Struct, frozen=True, tag=True):
-    """From this moment the list service takes the connections of a group and answers none of its calls."""
+    """Leave all calls of a group unanswered from `at` for `for_ms`; connections are still accepted."""
 
     group: str
     at: float
@@ -111,58 +111,58 @@
 
 
 class Finish(msgspec.Struct, frozen=True, tag=True):
-    """Say the last figures and end."""
+    """Send the last reports and exit."""
 
 
 ToHollow = Begin | Kill | Finish
 ToListService = Plan | ResetWatches | Outage | Cut | Finish
 
 
-# To the driver
+# Reports to the driver
 
 
 class InForce(msgspec.Struct, frozen=True, tag=True):
-    """Versions that came into force: balancer, version, moment."""
+    """Applied list versions as rows of balancer, version and time."""
 
     rows: list[tuple[int, int, float]]
 
 
 class Started(msgspec.Struct, frozen=True, tag=True):
-    """Balancers that were started again after a kill, and when."""
+    """Restarts after a kill as rows of balancer and time."""
 
     rows: list[tuple[int, float]]
 
 
 class HollowTally(msgspec.Struct, frozen=True, tag=True):
-    """What one process of hollow balancers has come to so far."""
+    """Cumulative counters of one process of hollow balancers."""
 
     running: int
-    informed: int  # balancers that have had a list
-    placed: dict[int, dict[str, int]]  # by balancer: connections brought up, by server; the last tally only
-    refused: int  # arrivals that were turned away or failed
-    moved: int  # standing connections that were moved
+    informed: int  # running balancers that have a list
+    placed: dict[int, dict[str, int]]  # established connections by balancer and server; last tally only
+    refused: int  # requests that were rejected or failed
+    moved: int  # established connections that were moved
     cpu_s: float
-    resident: int  # bytes
-    resident_before: int  # bytes, before the first balancer was made
-    lost_ms: float  # that the balancers' clock did not count since `Begin`: see `shared_clock`
-    late_ms: list[float]  # how late the process's own loop was, each 100 ms since `Begin`; the last only
+    resident: int  # memory in bytes
+    resident_before: int  # memory in bytes before the first balancer was created
+    lost_ms: float  # time that the shared clock skipped since `Begin`
+    late_ms: list[float]  # samples of the event loop's lateness since `Begin`; last tally only
 
 
 class Listening(msgspec.Struct, frozen=True, tag=True):
-    """The list service's address of each group."""
+    """The list service's addresses by group."""
 
     addresses: dict[str, str]
 
 
 class Changed(msgspec.Struct, frozen=True, tag=True):
-    """A change that the list service has made."""
+    """A list version that the list service has published."""
 
     version: int
     at: float
 
 
 class GroupTally(msgspec.Struct, frozen=True):
-    """The calls that came to one port of the list service."""
+    """Cumulative counters of one group's port of the list service."""
 
     calls: int = 0
     received: int = 0  # bytes of calls
@@ -170,12 +170,12 @@
 
 
 class ListTally(msgspec.Struct, frozen=True, tag=True):
-    """What the list service has come to so far."""
+    """Cumulative counters of the list service."""
 
     groups: dict[str, GroupTally]
-    calls_by_second: dict[int, int]  # Unix second
-    queue_most: int  # calls that waited for their turn together, at most
-    broken: int  # connections that it has reset
+    calls_by_second: dict[int, int]  # by Unix time in seconds
+    queue_most: int  # largest number of queued calls
+    broken: int  # connections that were reset
     cpu_s: float
 
 
@@ -186,11 +186,11 @@
 
 
 def encode(message: object) -> bytes:
-    """One line, with its end."""
+    """A message as one line with a newline."""
     return msgspec.json.encode(message) + b"\n"
 
 
-def decode(line: bytes, kind: type[Message] | Any) -> Message:
-    """The message of one line; raises msgspec.DecodeError where it is none of `kind`."""
-    made: Message = msgspec.json.decode(line, type=kind)
-    return made
+def decode(line: bytes, message_type: type[Message] | Any) -> Message:
+    """The message of one line; raises msgspec.DecodeError unless it is of the type `message_type`."""
+    message: Message = msgspec.json.decode(line, type=message_type)
+    return message
--- a/puffinford/scale/outcome.py
+++ b/puffinford/scale/outcome.py
@@ -1,4 +1,4 @@
-"""What a scale run came to. Times in ms unless a name says otherwise."""
+"""The results of a scale run."""
 
 from __future__ import annotations
 
@@ -9,48 +9,48 @@
 
 
 class ListServiceLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """The list service during the story."""
+    """Load of the list service during the story."""
 
     calls: int
     calls_per_s: float
-    peak_calls_per_s: int  # in one second
-    sent_bytes: int  # bytes of answers, without TCP and IP
-    received_bytes: int  # bytes of calls
-    max_queued_calls: int  # calls that waited for their turn together
-    reset_connections: int  # connections that it reset
-    cpu_percent: float  # of a core
+    peak_calls_per_s: int
+    sent_bytes: int  # answers, without TCP and IP headers
+    received_bytes: int  # calls, without TCP and IP headers
+    max_queued_calls: int
+    reset_connections: int
+    cpu_percent: float  # of one core
 
 
 class BalancerLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """Control's cost at one balancer of a kind; calls and bytes are None where relays stand between."""
+    """Mean cost of list distribution per balancer of one kind; calls and bytes are None behind relays."""
 
     calls_per_s: float | None
-    bytes_per_s: float | None  # both ways, without TCP and IP
-    cpu_percent: float  # of a core
-    resident_kib: float  # a hollow one: the growth of its process over its number; a real one: its process
-    placed: int  # connections brought up, over all
+    bytes_per_s: float | None  # both directions, without TCP and IP headers
+    cpu_percent: float  # of one core
+    resident_kib: float  # hollow: growth of the process divided by its balancers; real: the whole process
+    placed: int  # established connections, summed over all balancers
 
 
 class RelayLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """One relay during the story; 0 where it was killed."""
+    """Load of one relay during the story; 0 after it was killed."""
 
-    cpu_percent: float
+    cpu_percent: float  # of one core
     resident_mib: float
     upstream_calls: int
-    calls_per_s: float | None  # downstream; None where it logged too little to tell
-    sent_bytes_per_s: float | None  # bytes of answers
+    calls_per_s: float | None  # downstream; None if it logged too few samples
+    sent_bytes_per_s: float | None  # downstream answers
 
 
 class Lateness(msgspec.Struct, frozen=True, kw_only=True):
-    """How late the loops of the hollow processes were; a late loop makes its balancers look late."""
+    """Lateness of the event loops of the hollow processes, which adds to the measured propagation times."""
 
     p99_ms: float
     max_ms: float
-    lost_fraction: float  # of the story, that the balancers' clock did not count, at the worst process
+    lost_fraction: float  # of the story's time, skipped by the shared clock of the worst process
 
 
 class RunOutcome(msgspec.Struct, frozen=True, kw_only=True):
-    """One story at one size."""
+    """The results of one story at one fleet size."""
 
     story: str
     distribution: str
@@ -60,10 +60,10 @@
     relays: int
     servers: int
     changes: int
-    restarts: int  # hollow balancers that were killed and started again
-    service_ms: float
+    restarts: int  # of killed hollow balancers
+    service_ms: float  # processing time of one call at the list service
     seed: int
-    rate: float  # arrivals a second at each balancer
+    rate: float  # client arrivals per second at each balancer
     seconds: float
     list_service: ListServiceLoad
     hollow_propagation: PropagationStats
@@ -72,7 +72,7 @@
     real_load: BalancerLoad
     relay_load: list[RelayLoad]
     lateness: Lateness
-    resident_mib: float  # of all hollow processes
-    held: bool  # the size was held to the end
-    reason: str = ""  # where it was not
+    resident_mib: float  # all hollow processes together
+    held: bool  # all balancers ran to the end and the clock lost little enough
+    reason: str = ""  # why `held` is false
     disagreements: list[Disagreement] = []
--- a/puffinford/scale/pipes.py
+++ b/puffinford/scale/pipes.py
@@ -1,4 +1,4 @@
-"""The lines between a driver and its processes, over their standard input and output."""
+"""Line-based pipes between the driver and its processes, and the processes' resource usage."""
 
 from __future__ import annotations
 
@@ -11,35 +11,35 @@
 
 from puffinford.scale.messages import encode
 
-READ = 1 << 16
+READ_SIZE_BYTES = 1 << 16
 
 
-async def lines_from(descriptor: int) -> AsyncIterator[bytes]:
-    """Lines of a pipe, until its other end is closed."""
+async def read_lines(descriptor: int) -> AsyncIterator[bytes]:
+    """Lines read from a pipe until its other end is closed."""
     os.set_blocking(descriptor, False)
-    rest = b""
+    remainder = b""
     while True:
         await anyio.wait_readable(descriptor)
-        piece = os.read(descriptor, READ)
-        if not piece:
+        chunk = os.read(descriptor, READ_SIZE_BYTES)
+        if not chunk:
             return
-        *lines, rest = (rest + piece).split(b"\n")
+        *lines, remainder = (remainder + chunk).split(b"\n")
         for line in lines:
             yield line
 
 
-def tell(message: object) -> None:
-    """Write a message to the driver, which reads at once: what waits for it is late itself."""
+def send_to_driver(message: object) -> None:
+    """Write a message to standard output. Blocks the event loop while the pipe is full."""
     sys.stdout.buffer.write(encode(message))
     sys.stdout.buffer.flush()
 
 
-def resident(pid: int | str = "self") -> int:
-    """Bytes of memory that a process holds."""
+def resident_bytes(pid: int | str = "self") -> int:
+    """Resident memory of a process."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 def cpu_seconds(pid: int | str = "self") -> float:
-    """Processor time that a process has taken, in seconds, by the kernel's count."""
+    """User and system CPU time of a process, from /proc."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
--- a/puffinford/scale/process_reports.py
+++ b/puffinford/scale/process_reports.py
@@ -1,4 +1,4 @@
-"""What the processes of a run have told, and what they cost up to a moment."""
+"""Collects the messages of a run's processes, and snapshots of their resource usage."""
 
 from __future__ import annotations
 
@@ -21,56 +21,56 @@
 
 @dataclass
 class ProcessReports:
-    """What the processes have told."""
+    """What the hollow processes and the list service have reported so far."""
 
-    taken: dict[int, list[VersionTimestamp]] = field(default_factory=dict)
-    started: dict[int, list[float]] = field(default_factory=dict)
-    changed: list[VersionTimestamp] = field(default_factory=list)
-    hollow: dict[int, HollowTally] = field(default_factory=dict)  # by process
-    lists: ListTally | None = None
-    addresses: dict[str, str] = field(default_factory=dict)
+    applied: dict[int, list[VersionTimestamp]] = field(default_factory=dict)  # by hollow balancer
+    restarted_at: dict[int, list[float]] = field(default_factory=dict)  # Unix ms, by hollow balancer
+    published: list[VersionTimestamp] = field(default_factory=list)
+    hollow_tallies: dict[int, HollowTally] = field(default_factory=dict)  # by process
+    list_tally: ListTally | None = None
+    addresses: dict[str, str] = field(default_factory=dict)  # of the list service, by group
 
-    def hear_hollow(self, process: int, message: FromHollow) -> None:
-        """A message of one hollow process."""
+    def record_hollow(self, process: int, message: FromHollow) -> None:
+        """Store a message of the hollow process with this number."""
         match message:
             case InForce():
-                for me, version, at in message.rows:
-                    self.taken.setdefault(me, []).append(VersionTimestamp(version, at))
+                for number, version, at in message.rows:
+                    self.applied.setdefault(number, []).append(VersionTimestamp(version, at))
             case Started():
-                for me, at in message.rows:
-                    self.started.setdefault(me, []).append(at)
+                for number, at in message.rows:
+                    self.restarted_at.setdefault(number, []).append(at)
             case HollowTally():
-                self.hollow[process] = message
+                self.hollow_tallies[process] = message
 
-    def hear_lists(self, message: FromListService) -> None:
-        """A message of the list service."""
+    def record_list_service(self, message: FromListService) -> None:
+        """Store a message of the list service."""
         match message:
             case Listening():
                 self.addresses = message.addresses
             case Changed():
-                self.changed.append(VersionTimestamp(message.version, message.at))
+                self.published.append(VersionTimestamp(message.version, message.at))
             case ListTally():
-                self.lists = message
+                self.list_tally = message
 
-    def has(self, me: int, version: int) -> bool:
-        """Whether a version, or a later one, is in force at a hollow balancer, in its present process."""
-        rows, starts = self.taken.get(me), self.started.get(me)
+    def has_version(self, number: int, version: int) -> bool:
+        """Whether a hollow balancer has applied this version or a later one since its last restart."""
+        rows, starts = self.applied.get(number), self.restarted_at.get(number)
         if not rows or rows[-1].version < version:
             return False
-        return not starts or rows[-1].at >= starts[-1]
+        return not starts or rows[-1].at_ms >= starts[-1]
 
-    def informed(self) -> int:
-        """Hollow balancers that have a list."""
-        return sum(tally.informed for tally in self.hollow.values())
+    def balancers_with_list(self) -> int:
+        """The number of hollow balancers that have a list."""
+        return sum(tally.informed for tally in self.hollow_tallies.values())
 
 
 @dataclass(frozen=True)
 class UsageSnapshot:
-    """Counts of a moment; the story's are the difference of two."""
+    """Cumulative CPU times and call counts at one time; two snapshots give the usage in between."""
 
-    at: float  # Unix ms
-    hollow_cpu: float  # seconds, all processes
-    real_cpu: float
-    lists_cpu: float
-    relay_cpu: tuple[float, ...]
+    at_ms: float  # Unix time
+    hollow_cpu_s: float  # of all hollow processes
+    real_cpu_s: float
+    list_service_cpu_s: float
+    relay_cpu_s: tuple[float, ...]
     groups: Mapping[str, GroupTally]
--- a/puffinford/scale/propagation.py
+++ b/puffinford/scale/propagation.py
@@ -1,4 +1,4 @@
-"""How long changes took from the source until they were in force. Pure; times are Unix milliseconds."""
+"""Statistics of how long list changes took from the list service to the balancers. No I/O."""
 
 from __future__ import annotations
 
@@ -12,62 +12,62 @@
 
 @dataclass(frozen=True)
 class VersionTimestamp:
-    """A version that came into force at one balancer."""
+    """A list version, and when it was published by the source or applied by a balancer."""
 
     version: int
-    at: float
+    at_ms: float  # Unix time
 
 
 @dataclass(frozen=True)
 class OutagePeriod:
-    """A time in which the source could not be reached."""
+    """A period in which the source was unreachable, in Unix ms."""
 
-    begin: float
-    end: float
+    begin_ms: float
+    end_ms: float
 
 
 class PropagationStats(msgspec.Struct, frozen=True, kw_only=True):
-    """Over all changes at all balancers; times in ms from the change until it was in force.
+    """Propagation times from a change until it was applied, over all changes and balancers.
 
-    A change that came while the source could not be reached counts from when it could be; at a balancer that
-    was started anew it counts from that start, unless it had been in force before.
+    A change made during an outage of the source is timed from the end of the outage; one applied after a
+    restart of the balancer, from that restart at the earliest.
     """
 
     balancers: int = 0
     changes: int = 0
-    missed: int = 0  # changes that were never in force at a balancer, summed over balancers
-    behind: int = 0  # balancers without the last change at the end
-    older: int = 0  # times that an older version followed a newer one in a process
-    lists: int = 0  # lists that were taken
+    missed: int = 0  # changes that a balancer never applied, summed over balancers
+    behind: int = 0  # balancers that had not applied the last change at the end
+    older: int = 0  # times that a balancer went back to an older version without a restart
+    lists: int = 0  # lists that were applied
     p50_ms: float = 0.0
     p99_ms: float = 0.0
-    last_ms: float = 0.0
+    last_ms: float = 0.0  # the longest
 
 
 def measure_propagation(
     changes: Sequence[VersionTimestamp],
-    taken: Mapping[int, Sequence[VersionTimestamp]],
-    started: Mapping[int, Sequence[float]],
+    applied: Mapping[int, Sequence[VersionTimestamp]],
+    restarted_at: Mapping[int, Sequence[float]],
     outages: Sequence[OutagePeriod] = (),
 ) -> PropagationStats:
-    """`changes` as the source made them, by version; `taken` of every balancer, in order of time.
+    """Statistics of `changes`, in order of their versions.
 
-    `started` holds the moments at which balancers were started anew.
+    `applied` holds each balancer's versions in order of time, `restarted_at` its restarts in Unix ms.
     """
     delays: list[float] = []
     missed = behind = older = lists = 0
-    since = [_reachable(change.at, outages) for change in changes]
-    for me, rows in taken.items():
-        starts = sorted(started.get(me, ()))
+    counted_from = [_reachable_at(change.at_ms, outages) for change in changes]
+    for number, rows in applied.items():
+        starts = sorted(restarted_at.get(number, ()))
         lists += len(rows)
-        older += _older(rows, starts)
-        found = _delays(changes, since, rows, starts)
+        older += _count_regressions(rows, starts)
+        found = _delays(changes, counted_from, rows, starts)
         missed += len(changes) - len(found)
-        behind += len(found) < len(changes) or not _heard_since_start(rows, starts)
+        behind += len(found) < len(changes) or not _has_list_since_start(rows, starts)
         delays += found
     delays.sort()
     return PropagationStats(
-        balancers=len(taken),
+        balancers=len(applied),
         changes=len(changes),
         missed=missed,
         behind=behind,
@@ -79,52 +79,52 @@
     )
 
 
-def quantile(ordered: Sequence[float], part: float) -> float:
-    """The value under which `part` of the ordered values lie (nearest rank); 0 where there are none."""
+def quantile(ordered: Sequence[float], fraction: float) -> float:
+    """The quantile of ordered values by the nearest-rank method; 0 if there are none."""
     if not ordered:
         return 0.0
-    rank = -int(-part * len(ordered) // 1)  # rounded up
+    rank = -int(-fraction * len(ordered) // 1)  # rounded up
     return round(ordered[max(0, min(len(ordered), rank) - 1)], 1)
 
 
-def _reachable(at: float, outages: Sequence[OutagePeriod]) -> float:
+def _reachable_at(at_ms: float, outages: Sequence[OutagePeriod]) -> float:
     for outage in outages:
-        if outage.begin <= at < outage.end:
-            return outage.end
-    return at
+        if outage.begin_ms <= at_ms < outage.end_ms:
+            return outage.end_ms
+    return at_ms
 
 
-def _older(rows: Sequence[VersionTimestamp], starts: Sequence[float]) -> int:
-    """Rows of one process that tell an older version than the row before."""
+def _count_regressions(rows: Sequence[VersionTimestamp], starts: Sequence[float]) -> int:
+    """The number of rows with an older version than the row before it, within one run of the balancer."""
     found = 0
     for before, after in pairwise(rows):
-        same = bisect_right(starts, before.at) == bisect_right(starts, after.at)
-        found += same and after.version < before.version
+        same_run = bisect_right(starts, before.at_ms) == bisect_right(starts, after.at_ms)
+        found += same_run and after.version < before.version
     return found
 
 
-def _heard_since_start(rows: Sequence[VersionTimestamp], starts: Sequence[float]) -> bool:
-    """Whether a balancer that was started anew has had a list since."""
-    return not starts or (bool(rows) and rows[-1].at >= starts[-1])
+def _has_list_since_start(rows: Sequence[VersionTimestamp], starts: Sequence[float]) -> bool:
+    """Whether a balancer has applied a list since its last restart, if any."""
+    return not starts or (bool(rows) and rows[-1].at_ms >= starts[-1])
 
 
 def _delays(
     changes: Sequence[VersionTimestamp],
-    since: Sequence[float],
+    counted_from: Sequence[float],
     rows: Sequence[VersionTimestamp],
     starts: Sequence[float],
 ) -> list[float]:
-    """Of the changes that came into force: the ms that each took."""
+    """The propagation times, in ms, of the changes that were applied."""
     found = []
-    number = 0
-    for change, from_when in zip(changes, since, strict=True):
-        while number < len(rows) and rows[number].version < change.version:
-            number += 1
-        if number == len(rows):
+    index = 0
+    for change, start_ms in zip(changes, counted_from, strict=True):
+        while index < len(rows) and rows[index].version < change.version:
+            index += 1
+        if index == len(rows):
             break
-        at = rows[number].at
-        start = bisect_right(starts, at)
-        if start:
-            from_when = max(from_when, starts[start - 1])
-        found.append(max(0.0, at - from_when))
+        at_ms = rows[index].at_ms
+        restarts = bisect_right(starts, at_ms)
+        if restarts:
+            start_ms = max(start_ms, starts[restarts - 1])
+        found.append(max(0.0, at_ms - start_ms))
     return found
--- a/puffinford/scale/real_balancers.py
+++ b/puffinford/scale/real_balancers.py
@@ -1,4 +1,4 @@
-"""The real balancers beside the hollow ones: processes of the program, stand-in servers, their clients."""
+"""The real balancer processes of a run, with their stand-in servers and simulated clients."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from puffinford.core.clock import Clock
 from puffinford.core.values import Opening
-from puffinford.scale.arrivals import Arrival, ConnectionOutcome, arrivals, live
+from puffinford.scale.arrivals import Arrival, ConnectionOutcome, generate_arrivals, run_client
 from puffinford.scale.hollow_balancer import balancer_name, balancer_seed
 from puffinford.scale.messages import ClientWorkload
 from puffinford.scale.propagation import VersionTimestamp
@@ -24,7 +24,7 @@
 from puffinford.standins.servers import LineServer, ServerProfile
 from puffinford.standins.trace import Trace
 
-READY_EVERY_S = 0.02
+READY_POLL_INTERVAL_S = 0.02
 
 
 @dataclass(frozen=True)
@@ -35,92 +35,97 @@
     count: int
     seed: int
     settings: dict[str, Any]
-    discovery: str
-    operators: str
-    crowd: ClientWorkload
+    discovery: str  # HOST:PORT of the list service
+    operators: str  # text of the settings file
+    workload: ClientWorkload
     directory: Path
 
 
 @dataclass
 class BalancerLog:
-    """What a real balancer's log tells of a run."""
+    """What was read from a real balancer's log."""
 
-    taken: list[VersionTimestamp] = field(default_factory=list)
-    placed: Counter[str] = field(default_factory=Counter)
+    applied: list[VersionTimestamp] = field(default_factory=list)
+    placed: Counter[str] = field(default_factory=Counter)  # established connections by server
 
 
 class RealBalancers:
-    """Starts them, brings their clients, and reads their logs."""
+    """Starts the processes, runs their clients, and reads their logs."""
 
     def __init__(self, spec: RealSpec, clock: Clock) -> None:
         self._spec = spec
         self._clock = clock
         numbers = range(spec.first, spec.first + spec.count)
-        self.balancers = {me: self._balancer(me) for me in numbers}
+        self.balancers = {number: self._balancer(number) for number in numbers}
 
-    def _balancer(self, me: int) -> BalancerProcess:
+    def _balancer(self, number: int) -> BalancerProcess:
         spec = self._spec
-        settings = {**spec.settings, "me": me}
-        seed = balancer_seed(spec.seed, me)
+        settings = {**spec.settings, "me": number}
+        seed = balancer_seed(spec.seed, number)
         return BalancerProcess(
-            balancer_name(me), spec.directory, spec.discovery, settings, operators=spec.operators, seed=seed
+            balancer_name(number),
+            spec.directory,
+            spec.discovery,
+            settings,
+            operators=spec.operators,
+            seed=seed,
         )
 
-    async def start(self, most: float) -> None:
-        """Start all and wait until they serve; raises TimeoutError after `most` seconds."""
+    async def start(self, timeout_s: float) -> None:
+        """Start all and wait until each listens and has a list; raises TimeoutError."""
         for balancer in self.balancers.values():
             balancer.start()
-        with anyio.fail_after(most):
-            for me, balancer in self.balancers.items():
-                while not (balancer.is_listening() and self.logged(me).taken):
+        with anyio.fail_after(timeout_s):
+            for number, balancer in self.balancers.items():
+                while not (balancer.is_listening() and self.read_log(number).applied):
                     if not balancer.running:
-                        raise TimeoutError(f"{balancer.name} has ended; see {balancer.log}")
-                    await anyio.sleep(READY_EVERY_S)
+                        raise TimeoutError(f"{balancer.name} has ended, see {balancer.log}")
+                    await anyio.sleep(READY_POLL_INTERVAL_S)
 
     def stop(self) -> None:
-        """End all."""
+        """Stop all processes."""
         for balancer in self.balancers.values():
             balancer.stop()
 
     @property
     def running(self) -> int:
-        """Balancers whose process is there."""
+        """The number of running processes."""
         return sum(balancer.running for balancer in self.balancers.values())
 
-    def cpu(self) -> float:
-        """Seconds of CPU that all have taken together."""
+    def cpu_s(self) -> float:
+        """CPU time summed over all processes."""
         return sum(balancer.cpu() for balancer in self.balancers.values())
 
-    def resident(self) -> int:
-        """Bytes of memory that all hold together."""
+    def resident_bytes(self) -> int:
+        """Resident memory summed over all processes."""
         return sum(balancer.resident_bytes() for balancer in self.balancers.values())
 
-    def logged(self, me: int) -> BalancerLog:
-        """What the balancer's log tells so far."""
-        return read_log(self.balancers[me].log)
+    def read_log(self, number: int) -> BalancerLog:
+        """The contents of one balancer's log so far."""
+        return parse_log(self.balancers[number].log)
 
-    async def serve_crowd(self, begin: float, end: float) -> None:
-        """Bring the clients that come between two moments; those that stand then go on until cancelled."""
+    async def serve_clients(self, begin_ms: float, end_ms: float) -> None:
+        """Run the clients that arrive between two times; those still connected then stay until cancelled."""
         async with anyio.create_task_group() as tasks:
-            for me in self.balancers:
-                tasks.start_soon(self._arrive, me, begin, end, tasks)
+            for number in self.balancers:
+                tasks.start_soon(self._arrive, number, begin_ms, end_ms, tasks)
 
-    async def _arrive(self, me: int, begin: float, end: float, tasks: anyio.abc.TaskGroup) -> None:
-        for arrival in arrivals(self._spec.crowd, self._spec.seed, me):
-            due = begin + arrival.after
-            if due >= end:
+    async def _arrive(self, number: int, begin_ms: float, end_ms: float, tasks: anyio.abc.TaskGroup) -> None:
+        for arrival in generate_arrivals(self._spec.workload, self._spec.seed, number):
+            arrives_at = begin_ms + arrival.after_ms
+            if arrives_at >= end_ms:
                 return
-            await self._clock.sleep(due - self._clock.now())
-            tasks.start_soon(self._live, arrival, me)
+            await self._clock.sleep(arrives_at - self._clock.now())
+            tasks.start_soon(self._run_client, arrival, number)
 
-    async def _live(self, arrival: Arrival, me: int) -> None:
-        async def connect(opening: Opening, life: float) -> ConnectionOutcome:
-            return await self._connect(self.balancers[me].port, opening, life)
+    async def _run_client(self, arrival: Arrival, number: int) -> None:
+        async def connect(opening: Opening, life_ms: float) -> ConnectionOutcome:
+            return await self._connect(self.balancers[number].port, opening, life_ms)
 
-        await live(arrival, self._spec.crowd, me, self._clock, connect)
+        await run_client(arrival, self._spec.workload, number, self._clock, connect)
 
-    async def _connect(self, port: int, opening: Opening, life: float) -> ConnectionOutcome:
-        """One connection over the platform's line protocol."""
+    async def _connect(self, port: int, opening: Opening, life_ms: float) -> ConnectionOutcome:
+        """Open one connection over the line protocol and hold it for at most `life_ms`."""
         try:
             stream = await anyio.connect_tcp(HOST, port)
         except OSError:
@@ -131,16 +136,16 @@
             await lines.send_line(f"OPEN {opening.request_id} {opening.key} {parameters}".encode())
             if not (await lines.next()).startswith(b"UP "):
                 return ConnectionOutcome.REFUSED
-            with self._clock.limit(life):
-                ended = await lines.next()
-                return ConnectionOutcome.MOVED if ended == b"MOVE" else ConnectionOutcome.BROKEN
+            with self._clock.limit(life_ms):
+                line = await lines.next()
+                return ConnectionOutcome.MOVED if line == b"MOVE" else ConnectionOutcome.BROKEN
             return ConnectionOutcome.DONE
         finally:
             await anyio.aclose_forcefully(stream)
 
 
 class StandInServers:
-    """The stand-in servers that real balancers place on."""
+    """The stand-in servers on which real balancers place connections."""
 
     def __init__(self, count: int, seed: int, clock: Clock, tasks: anyio.abc.TaskGroup) -> None:
         trace = Trace(clock.now)
@@ -152,31 +157,31 @@
             server.start()
 
     def entries(self) -> list[dict[str, Any]]:
-        """The servers as entries of the list."""
+        """The servers as entries of the server list."""
         return [{"id": server.id, "addr": server.address} for server in self._servers]
 
 
-def read_log(path: Path) -> BalancerLog:
-    """The versions that came, with their moments, and the connections that came up, by server."""
-    logged = BalancerLog()
+def parse_log(path: Path) -> BalancerLog:
+    """Read the applied list versions with their times, and the established connections by server."""
+    log = BalancerLog()
     if not path.exists():
-        return logged
+        return log
     for line in path.read_text(errors="replace").splitlines():
         if " event=discovery version=" in line:
             values = _values(line)
-            logged.taken.append(VersionTimestamp(int(values["version"]), float(values["t"]) * 1_000.0))
+            log.applied.append(VersionTimestamp(int(values["version"]), float(values["t"]) * 1_000.0))
         elif "from=core.exchange" in line and "event=up " in line:
-            logged.placed[_values(line)["server"]] += 1
-    return logged
+            log.placed[_values(line)["server"]] += 1
+    return log
 
 
 def _values(line: str) -> dict[str, str]:
     return dict(word.partition("=")[::2] for word in shlex.split(line))
 
 
-def placements(logs: Sequence[BalancerLog]) -> Counter[str]:
-    """Connections that came up at all of them, by server."""
+def count_placements(logs: Sequence[BalancerLog]) -> Counter[str]:
+    """Established connections by server, summed over all balancers."""
     total: Counter[str] = Counter()
-    for logged in logs:
-        total += logged.placed
+    for log in logs:
+        total += log.placed
     return total
--- a/puffinford/scale/shared_clock.py
+++ b/puffinford/scale/shared_clock.py
@@ -1,8 +1,8 @@
-"""The clock of many balancers that share one process: it does not count the time that sharing costs.
+"""The clock of many balancers that share one process, which does not count delays of their event loop.
 
-Each balancer would have a process of its own. In a shared one a change reaches hundreds in one turn of the
-loop, and the last of them has its turn some hundred milliseconds late: by the system's clock its exchange
-would find that the program stood still, drop its call and ask anew, and so would all others.
+A list change wakes hundreds of balancers in one iteration of the loop. By the system's clock, the last of
+them would take the delay for a suspension of the process, and would drop and repeat its call, which overloads
+the loop further.
 """
 
 from __future__ import annotations
@@ -15,75 +15,75 @@
 
 from puffinford.core.clock import Clock
 
-TURN_MS = 20.0  # between looks at how late the loop is
-STEP_MOST = 100.0  # ms that the clock goes on between two of them; what is more is lost
+TURN_INTERVAL_MS = 20.0  # between measurements of the loop's lateness
+MAX_STEP_MS = 100.0  # that the clock advances between two measurements; the excess is lost
 
 
 class SharedClock(Clock):
-    """Milliseconds as `Clock` has them, less what the loop was late. `run` runs beside those who ask."""
+    """A `Clock` that leaves out delays of the event loop. `run` must run while it is used."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.lost = 0.0  # ms that were not counted
-        self._turned = super().now()
+        self.lost_ms = 0.0  # not counted so far
+        self._last_turn = super().now()
         self._handle: asyncio.TimerHandle
 
     def now(self) -> float:
-        return min(super().now() - self.lost, self._turned + STEP_MOST)
+        return min(super().now() - self.lost_ms, self._last_turn + MAX_STEP_MS)
 
-    def true_now(self) -> float:
-        """The system's time, with all that was lost."""
+    def unadjusted_now(self) -> float:
+        """The time in ms including all that was lost."""
         return super().now()
 
     async def run(self) -> None:
-        """Look how late the loop is, until cancelled."""
-        self._next_turn()
+        """Measure the loop's lateness until cancelled."""
+        self._schedule_turn()
         try:
             await anyio.sleep_forever()
         finally:
             self._handle.cancel()
 
-    def _next_turn(self) -> None:
-        # Guards the order: a plain call has its turn before the tasks that the same moment wakes.
-        self._handle = asyncio.get_running_loop().call_later(TURN_MS / 1_000.0, self._take_turn)
+    def _schedule_turn(self) -> None:
+        # A plain callback runs before the tasks that are woken in the same iteration of the loop.
+        self._handle = asyncio.get_running_loop().call_later(TURN_INTERVAL_MS / 1_000.0, self._on_turn)
 
-    def _take_turn(self) -> None:
-        self.turn()
-        self._next_turn()
+    def _on_turn(self) -> None:
+        self.record_turn()
+        self._schedule_turn()
 
-    def turn(self) -> None:
-        """The loop has had a turn."""
-        here = super().now() - self.lost
-        over = here - self._turned - STEP_MOST
-        if over > 0.0:
-            self.lost += over
-            here -= over
-        self._turned = here
+    def record_turn(self) -> None:
+        """Advance the clock by the time since the last turn, at most by `MAX_STEP_MS`."""
+        current = super().now() - self.lost_ms
+        excess = current - self._last_turn - MAX_STEP_MS
+        if excess > 0.0:
+            self.lost_ms += excess
+            current -= excess
+        self._last_turn = current
 
     async def sleep(self, ms: float) -> None:
         if ms <= 0.0:
             await anyio.sleep(0)
             return
-        due = self.now() + ms
-        while (left := due - self.now()) > 0.0:
-            await anyio.sleep(left / 1_000.0)
+        deadline = self.now() + ms
+        while (remaining_ms := deadline - self.now()) > 0.0:
+            await anyio.sleep(remaining_ms / 1_000.0)
 
     @contextmanager
     def limit(self, ms: float) -> Iterator[anyio.CancelScope]:
         loop = asyncio.get_running_loop()
-        due = self.now() + max(0.0, ms)
+        deadline = self.now() + max(0.0, ms)
         handle: asyncio.Handle
         with anyio.CancelScope() as scope:
 
-            def look() -> None:
+            def check() -> None:
                 nonlocal handle
-                left = due - self.now()
-                if left <= 0.0:
+                remaining_ms = deadline - self.now()
+                if remaining_ms <= 0.0:
                     scope.cancel()
                 else:
-                    handle = loop.call_later(left / 1_000.0, look)
+                    handle = loop.call_later(remaining_ms / 1_000.0, check)
 
-            handle = loop.call_later(max(0.0, ms) / 1_000.0, look)
+            handle = loop.call_later(max(0.0, ms) / 1_000.0, check)
             try:
                 yield scope
             finally:
--- a/puffinford/scale/stories.py
+++ b/puffinford/scale/stories.py
@@ -1,6 +1,6 @@
-"""The stories of scale runs: what changes at the source, what fails, and when. Times in seconds.
+"""Stories of scale runs: a schedule of list changes and faults. Times in seconds from the story's start.
 
-Left for later: regions apart for an hour, and the ramp of cold servers with 7,500 modules.
+Not covered: regions that are cut off from each other, and the slow start of thousands of cold servers.
 """
 
 from __future__ import annotations
@@ -12,127 +12,134 @@
 
 from puffinford.scale.messages import Change
 
-FULL_SPAN_S = 60.0  # the span of a story at size
-CHANGE_EVERY = 12.0  # 7,100 changes a day
-FAULT_CHANGES = 12  # spread over a story in which processes fail: one in 5 s at FULL
-BURST_OVER = 0.1  # the changes of a burst come within this
-DRAINED_MOST = 0.1  # part of the servers that changes take out together
+FULL_SPAN_S = 60.0  # length of a story unless another is given
+CHANGE_INTERVAL_S = 12.0  # 7,200 changes a day
+FAULT_STORY_CHANGES = 12  # spread evenly over a story in which processes fail
+BURST_DURATION_S = 0.1
+MAX_DRAINED_FRACTION = 0.1  # of the servers, marked as leaving at the same time
 WEIGHTS = (1.0, 1.5)
-FROZEN = 4.0  # how long a frozen relay stands still
+MAX_FREEZE_S = 4.0
 
 
 class RelayFault(Enum):
-    """What happens to one relay."""
+    """The fault of one relay."""
 
-    KILLED = "killed"  # its process is gone, and started again after the fault
-    FROZEN = "frozen"  # its process stands still
+    KILLED = "killed"  # its process is killed, and started again after the fault
+    FROZEN = "frozen"  # its process is suspended
     CUT = "cut"  # the list service answers none of its calls
 
 
 @dataclass(frozen=True)
 class Window:
-    """From `at` for so long."""
+    """The time of one fault."""
 
-    at: float
-    lasts: float
+    start_s: float
+    duration_s: float
 
 
 @dataclass(frozen=True)
 class Story:
-    """`change_at` are the moments of changes; the rest are faults."""
+    """A schedule: the times of list changes, and the faults with their times."""
 
     name: str
-    span: float
-    change_at: tuple[float, ...]
-    reset_at: float | None = None
-    killed: Window | None = None  # a third of the hollow balancers
-    outage: Window | None = None  # of the list service
+    span_s: float
+    change_times_s: tuple[float, ...]
+    reset_at_s: float | None = None  # the list service resets its connections
+    kill: Window | None = None  # a third of the hollow balancers is killed, and started again
+    outage: Window | None = None  # the list service refuses connections
     relay_fault: RelayFault | None = None
-    relay: Window | None = None
+    relay_fault_window: Window | None = None
 
 
-def _steady(span: float, every: float) -> tuple[float, ...]:
-    return tuple(every * (n + 0.5) for n in range(int(span / every)))
+def _steady(span_s: float, interval_s: float) -> tuple[float, ...]:
+    return tuple(interval_s * (n + 0.5) for n in range(int(span_s / interval_s)))
 
 
-def _burst(span: float, changes: int) -> tuple[float, ...]:
-    return tuple(span / 4.0 + BURST_OVER * n / changes for n in range(changes))
+def _burst(span_s: float, changes: int) -> tuple[float, ...]:
+    return tuple(span_s / 4.0 + BURST_DURATION_S * n / changes for n in range(changes))
 
 
-def _calm(span: float) -> Story:
-    return Story("calm", span, _steady(span, CHANGE_EVERY * span / FULL_SPAN_S))
+def _calm(span_s: float) -> Story:
+    return Story("calm", span_s, _steady(span_s, CHANGE_INTERVAL_S * span_s / FULL_SPAN_S))
 
 
-def _busy(span: float) -> Story:
-    return Story("busy", span, _steady(span, 1.0))
+def _busy(span_s: float) -> Story:
+    return Story("busy", span_s, _steady(span_s, 1.0))
 
 
-def _burst_40(span: float) -> Story:
-    return Story("burst-40", span, _burst(span, 40))
+def _burst_40(span_s: float) -> Story:
+    return Story("burst-40", span_s, _burst(span_s, 40))
 
 
-def _burst_300(span: float) -> Story:
-    return Story("burst-300", span, _burst(span, 300))
+def _burst_300(span_s: float) -> Story:
+    return Story("burst-300", span_s, _burst(span_s, 300))
 
 
-def _resets(span: float) -> Story:
-    return Story("resets", span, (0.3 * span, 0.7 * span), reset_at=span / 4.0)
+def _resets(span_s: float) -> Story:
+    return Story("resets", span_s, (0.3 * span_s, 0.7 * span_s), reset_at_s=span_s / 4.0)
 
 
-def _killed(span: float) -> Story:
-    changes = _steady(span, span / FAULT_CHANGES)
-    return Story("third-killed", span, changes, killed=Window(span / 4.0, span / 30.0))
+def _killed(span_s: float) -> Story:
+    change_times_s = _steady(span_s, span_s / FAULT_STORY_CHANGES)
+    return Story("third-killed", span_s, change_times_s, kill=Window(span_s / 4.0, span_s / 30.0))
 
 
-def _list_down(span: float) -> Story:
-    return Story("list-down", span, (span / 2.0, 0.9 * span), outage=Window(span / 4.0, span / 2.0))
+def _list_down(span_s: float) -> Story:
+    return Story("list-down", span_s, (span_s / 2.0, 0.9 * span_s), outage=Window(span_s / 4.0, span_s / 2.0))
 
 
 def _relay_story(fault: RelayFault) -> Callable[[float], Story]:
-    def made(span: float) -> Story:
-        lasts = min(FROZEN, span / 2.0) if fault is RelayFault.FROZEN else span / 2.0
-        window = Window(span / 4.0, lasts)
-        changes = _steady(span, span / FAULT_CHANGES)
-        return Story(f"relay-{fault.value}", span, changes, relay_fault=fault, relay=window)
+    def make_story(span_s: float) -> Story:
+        duration_s = min(MAX_FREEZE_S, span_s / 2.0) if fault is RelayFault.FROZEN else span_s / 2.0
+        window = Window(span_s / 4.0, duration_s)
+        change_times_s = _steady(span_s, span_s / FAULT_STORY_CHANGES)
+        return Story(
+            f"relay-{fault.value}",
+            span_s,
+            change_times_s,
+            relay_fault=fault,
+            relay_fault_window=window,
+        )
 
-    return made
+    return make_story
 
 
-_MAKERS = (_calm, _busy, _burst_40, _burst_300, _resets, _killed, _list_down)
-DIRECT = {maker(FULL_SPAN_S).name: maker for maker in _MAKERS}
-WITH_RELAYS = {f"relay-{fault.value}": _relay_story(fault) for fault in RelayFault}
-STORIES: dict[str, Callable[[float], Story]] = {**DIRECT, **WITH_RELAYS}
+_DIRECT_STORY_FACTORIES = (_calm, _busy, _burst_40, _burst_300, _resets, _killed, _list_down)
+DIRECT_STORIES = {factory(FULL_SPAN_S).name: factory for factory in _DIRECT_STORY_FACTORIES}
+RELAY_STORIES = {f"relay-{fault.value}": _relay_story(fault) for fault in RelayFault}
+STORIES: dict[str, Callable[[float], Story]] = {**DIRECT_STORIES, **RELAY_STORIES}
 
 
-def story(name: str, span: float = FULL_SPAN_S) -> Story:
-    """A story of STORIES within `span` seconds; raises KeyError."""
-    return STORIES[name](span)
+def story(name: str, span_s: float = FULL_SPAN_S) -> Story:
+    """A story of `STORIES`, `span_s` seconds long; raises KeyError for an unknown name."""
+    return STORIES[name](span_s)
 
 
-def changes(told: Story, servers: list[str], seed: int, begin: float) -> list[Change]:
-    """The changes of a story, at Unix ms from `begin`: weights, and every fourth takes a server out or back.
+def planned_changes(story: Story, servers: list[str], seed: int, begin_ms: float) -> list[Change]:
+    """The list changes of a story that starts at `begin_ms` (Unix time).
 
-    At most a tenth of the servers is out together.
+    Three of four change a server's weight; the fourth drains a server, or returns the one drained longest
+    once `MAX_DRAINED_FRACTION` of the servers is drained.
     """
     rng = random.Random(f"changes {seed}")
-    out: list[str] = []
+    drained: list[str] = []
     weights = dict.fromkeys(servers, WEIGHTS[0])
-    made = []
-    for number, at in enumerate(told.change_at):
+    planned = []
+    for number, change_time_s in enumerate(story.change_times_s):
         state = "active"
-        if number % 4 == 3 and len(out) >= DRAINED_MOST * len(servers):
-            ident = out.pop(0)
+        if number % 4 == 3 and len(drained) >= MAX_DRAINED_FRACTION * len(servers):
+            ident = drained.pop(0)
         elif number % 4 == 3:
-            ident = rng.choice([server for server in servers if server not in out])
-            out.append(ident)
+            ident = rng.choice([server for server in servers if server not in drained])
+            drained.append(ident)
             state = "leaving"
         else:
-            ident = rng.choice([server for server in servers if server not in out])
+            ident = rng.choice([server for server in servers if server not in drained])
             weights[ident] = WEIGHTS[1] if weights[ident] == WEIGHTS[0] else WEIGHTS[0]
-        made.append(Change(begin + at * 1_000.0, ident, state, weights[ident]))
-    return made
+        planned.append(Change(begin_ms + change_time_s * 1_000.0, ident, state, weights[ident]))
+    return planned
 
 
-def third(hollow: int, seed: int) -> list[int]:
-    """The balancers that a kill strikes."""
+def choose_killed_balancers(hollow: int, seed: int) -> list[int]:
+    """The numbers of the third of the `hollow` balancers that a story kills."""
     return sorted(random.Random(f"killed {seed}").sample(range(hollow), hollow // 3))
