--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -13,7 +13,7 @@
 
 import click
 
-from benchmarks.capacity.model import Capacity, capacity
+from benchmarks.capacity.model import Capacity, compute_capacity
 from benchmarks.capacity.page import render
 from benchmarks.capacity.targets import TARGETS, read_targets
 from benchmarks.scale.records import RUNS, SLOPES, BadRecord, RunResults, SlopeResults, read
@@ -27,7 +27,7 @@
 
     Raises BadRecord where a file cannot be used, or another than the committed one is missing.
     """
-    return capacity(
+    return compute_capacity(
         read_targets(targets),
         read(slopes, SlopeResults) if slopes != SLOPES or slopes.exists() else None,
         read(runs, RunResults) if runs != RUNS or runs.exists() else None,
@@ -55,7 +55,7 @@
         sys.exit(BAD_INPUT)
     for series in computed.missing:
         click.echo(f"not measured: {series}")
-    built = computed.first
+    built = computed.first_to_build
     click.echo(
         f"capacity page={page.name} not_measured={len(computed.missing)} runs={len(computed.runs)} "
         f"first={built.multiple.value if built else 0.0:.3g}"
--- a/benchmarks/capacity/configuration.py
+++ b/benchmarks/capacity/configuration.py
@@ -4,14 +4,14 @@
 
 from benchmarks.capacity.balancer import burst_time
 from benchmarks.capacity.inputs import PERCENT, Inputs
-from benchmarks.capacity.quantity import Quantity, derived, told
-from benchmarks.capacity.roles import Kind, Mechanism, Role, Row, Status
+from benchmarks.capacity.quantity import Quantity, derived, specified
+from benchmarks.capacity.roles import Mechanism, QuantityKind, Role, Row, Status
 
 
 def day_log(inputs: Inputs) -> Quantity:
     """All changes of a day."""
-    a_day = told(inputs.targets.changes.per_day, "")
-    return derived("B", lambda changes, size: changes * size, a_day, inputs.assumed("change_bytes"))
+    daily_changes = specified(inputs.targets.changes.per_day, "")
+    return derived("B", lambda changes, size: changes * size, daily_changes, inputs.assumed("change_bytes"))
 
 
 def burst_bytes(inputs: Inputs) -> Quantity:
@@ -47,39 +47,44 @@
         "B/s", lambda rate, size: rate * size, inputs.changes_per_s, inputs.assumed("change_bytes")
     )
     peak = derived(
-        "/s", lambda changes, within: changes / within, inputs.largest_burst, inputs.in_force_within
+        "/s", lambda changes, within: changes / within, inputs.largest_burst, inputs.change_deadline
     )
     rows = [
-        Row(Kind.STATE, "log of a day's changes", day_log(inputs), inputs.memory_budget),
+        Row(QuantityKind.STATE, "log of a day's changes", day_log(inputs), inputs.memory_budget),
         Row(
-            Kind.MEMORY,
+            QuantityKind.MEMORY,
             "the same, held by a balancer for who was away",
             day_log(inputs),
             inputs.memory_budget,
         ),
-        Row(Kind.MESSAGES, "changes", inputs.changes_per_s),
-        Row(Kind.PEAK, "largest burst, within the told time", peak),
-        Row(Kind.PEAK, "the same, coalesced", coalesced(inputs)),
+        Row(QuantityKind.MESSAGES, "changes", inputs.changes_per_s),
+        Row(QuantityKind.PEAK, "largest burst, within the told time", peak),
+        Row(QuantityKind.PEAK, "the same, coalesced", coalesced(inputs)),
         Row(
-            Kind.MESSAGES,
+            QuantityKind.MESSAGES,
             "answers of one list service to all, directly",
             direct_answers(inputs),
-            inputs.list_rate,
+            inputs.list_service_rate,
+        ),
+        Row(QuantityKind.BYTES, "changes, mean", mean_bytes, inputs.bytes_budget),
+        Row(
+            QuantityKind.BYTES,
+            "largest burst, over the budget's window",
+            burst_bytes(inputs),
+            inputs.bytes_budget,
         ),
-        Row(Kind.BYTES, "changes, mean", mean_bytes, inputs.bytes_budget),
-        Row(Kind.BYTES, "largest burst, over the budget's window", burst_bytes(inputs), inputs.bytes_budget),
     ]
     for servers in inputs.server_counts:
         core, time = burst_core(inputs, servers), burst_time(inputs, servers)
         rows += [
             Row(
-                Kind.PROCESSOR,
+                QuantityKind.PROCESSOR,
                 "largest burst change by change, over the budget's window",
                 core,
                 inputs.core_budget,
                 servers,
             ),
-            Row(Kind.TIME, "the same, until it is taken", time, inputs.in_force_within, servers),
+            Row(QuantityKind.TIME, "the same, until it is taken", time, inputs.change_deadline, servers),
         ]
     return Role(
         "configuration",
@@ -87,19 +92,21 @@
         "Quantities are of a balancer.",
         tuple(rows),
         (
-            Mechanism("reload of the whole file, all of it or nothing", Status.RUNS, "SIGHUP"),
-            Mechanism("changes of the server list by version", Status.RUNS, "watch, then only what changed"),
+            Mechanism("reload of the whole file, all of it or nothing", Status.IMPLEMENTED, "SIGHUP"),
+            Mechanism(
+                "changes of the server list by version", Status.IMPLEMENTED, "watch, then only what changed"
+            ),
             Mechanism(
                 "versioned configuration by watch, last good one kept",
                 Status.MISSING,
                 "files are brought by hand or by another system",
             ),
-            Mechanism("replicated store with watches, by consensus", Status.ELSEWHERE, "the source of both"),
+            Mechanism("replicated store with watches, by consensus", Status.EXTERNAL, "the source of both"),
         ),
     )
 
 
-def configuration_figures(inputs: Inputs) -> dict[str, Quantity]:
+def configuration_quantities(inputs: Inputs) -> dict[str, Quantity]:
     """What the chapter on configuration quotes."""
     return {
         "configuration.mean": inputs.changes_per_s,
--- a/benchmarks/capacity/detection.py
+++ b/benchmarks/capacity/detection.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from benchmarks.capacity.inputs import DAY_S, Inputs
-from benchmarks.capacity.lists import call_time
-from benchmarks.capacity.quantity import Quantity, derived, told
-from benchmarks.capacity.roles import Kind, Mechanism, Role, Row, Status
+from benchmarks.capacity.lists import call_cpu_time
+from benchmarks.capacity.quantity import Quantity, derived, specified
+from benchmarks.capacity.roles import Mechanism, QuantityKind, Role, Row, Status
 
 SILENT_S = 3.5  # a line of a standing connection unanswered for so long: `SILENT` of `puffinford/core`
 
@@ -16,13 +16,15 @@
     return derived(
         "machines",
         lambda servers: servers + fleet.fleet.balancers + fleet.budget.machines,
-        inputs.most_servers,
+        inputs.max_servers,
     )
 
 
 def heartbeats(inputs: Inputs) -> Quantity:
     """Heartbeats a second of all machines, one to the keeper of leases each."""
-    return derived("/s", lambda count, every: count / every, machines(inputs), inputs.assumed("heartbeat_ms"))
+    return derived(
+        "/s", lambda count, interval: count / interval, machines(inputs), inputs.assumed("heartbeat_ms")
+    )
 
 
 def all_pairs(inputs: Inputs) -> Quantity:
@@ -36,7 +38,7 @@
     """Bytes a second of one machine by SWIM, whatever their number."""
     return derived(
         "B/s",
-        lambda probes, every, size: probes / every * size,
+        lambda probes, interval, size: probes / interval * size,
         inputs.assumed("gossip_probes"),
         inputs.assumed("heartbeat_ms"),
         inputs.assumed("heartbeat_bytes"),
@@ -47,7 +49,7 @@
     """Bytes a second of one machine to the keeper of leases."""
     return derived(
         "B/s",
-        lambda every, size: size / every,
+        lambda interval, size: size / interval,
         inputs.assumed("heartbeat_ms"),
         inputs.assumed("heartbeat_bytes"),
     )
@@ -57,7 +59,7 @@
     """Until a lease has run out."""
     return derived(
         "s",
-        lambda every, missed: every * missed,
+        lambda interval, missed: interval * missed,
         inputs.assumed("heartbeat_ms"),
         inputs.assumed("heartbeats_missed"),
     )
@@ -65,19 +67,22 @@
 
 def wasted_attempts(inputs: Inputs) -> Quantity:
     """Attempts at dead machines a day, if each balancer finds out by itself."""
-    a_day = told(inputs.targets.failures.machines_per_day, "")
-    return derived("attempts", lambda failed, count: failed * count, a_day, inputs.balancers)
+    daily_failures = specified(inputs.targets.failures.machines_per_day, "")
+    return derived("attempts", lambda failed, count: failed * count, daily_failures, inputs.balancers)
 
 
 def detection(inputs: Inputs) -> Role:
     """Who learns when that a machine has failed."""
     failures = inputs.targets.failures
-    mean = told((failures.machines_per_day + failures.restarts_per_day) / DAY_S, "/s")
+    mean = specified((failures.machines_per_day + failures.restarts_per_day) / DAY_S, "/s")
     zone = derived("machines", lambda count, zones: count / zones, machines(inputs), inputs.zones)
-    peak = derived("/s", lambda count, within: count / within, zone, inputs.in_force_within)
-    a_machine = inputs.per_control_machine(heartbeats(inputs))
+    peak = derived("/s", lambda count, within: count / within, zone, inputs.change_deadline)
+    per_machine = inputs.per_control_machine(heartbeats(inputs))
     core = derived(
-        "cores", lambda rate, cost: rate * cost, a_machine, call_time(inputs, inputs.targets.fleet.balancers)
+        "cores",
+        lambda rate, cost: rate * cost,
+        per_machine,
+        call_cpu_time(inputs, inputs.targets.fleet.balancers),
     )
     state = derived(
         "B", lambda count, size: count * size, machines(inputs), inputs.assumed("shard_entry_bytes")
@@ -87,38 +92,52 @@
         "Detection of failed machines",
         "Each quantity says whose it is.",
         (
-            Row(Kind.STATE, "an entry for each machine", state, inputs.memory_budget),
+            Row(QuantityKind.STATE, "an entry for each machine", state, inputs.memory_budget),
             Row(
-                Kind.MEMORY,
+                QuantityKind.MEMORY,
                 "the same at a keeper of leases, in memory",
                 state,
                 inputs.assumed("machine_memory_gb"),
             ),
-            Row(Kind.MESSAGES, "machines that fail or restart", mean),
-            Row(Kind.PEAK, "machines of a lost zone, told within the told time", peak),
-            Row(Kind.MESSAGES, "heartbeats at a control machine", a_machine),
-            Row(Kind.BYTES, "heartbeats of each machine to each", all_pairs(inputs), inputs.bytes_budget),
-            Row(Kind.BYTES, "heartbeats to a keeper of leases", lease_bytes(inputs), inputs.bytes_budget),
-            Row(Kind.BYTES, "gossip (SWIM)", gossip(inputs), inputs.bytes_budget),
+            Row(QuantityKind.MESSAGES, "machines that fail or restart", mean),
+            Row(QuantityKind.PEAK, "machines of a lost zone, told within the told time", peak),
+            Row(QuantityKind.MESSAGES, "heartbeats at a control machine", per_machine),
+            Row(
+                QuantityKind.BYTES,
+                "heartbeats of each machine to each",
+                all_pairs(inputs),
+                inputs.bytes_budget,
+            ),
             Row(
-                Kind.PROCESSOR,
+                QuantityKind.BYTES,
+                "heartbeats to a keeper of leases",
+                lease_bytes(inputs),
+                inputs.bytes_budget,
+            ),
+            Row(QuantityKind.BYTES, "gossip (SWIM)", gossip(inputs), inputs.bytes_budget),
+            Row(
+                QuantityKind.PROCESSOR,
                 "heartbeats at a control machine, each as one call of the list service",
                 core,
-                inputs.assumed_cores,
+                inputs.cores_per_machine,
+            ),
+            Row(
+                QuantityKind.TIME,
+                "a standing connection of ours that is silent is moved after",
+                silent_after(),
             ),
-            Row(Kind.TIME, "a standing connection of ours that is silent is moved after", silent_after()),
-            Row(Kind.TIME, "a lease has run out after", detected_after(inputs)),
+            Row(QuantityKind.TIME, "a lease has run out after", detected_after(inputs)),
         ),
         (
             Mechanism(
                 "passive health checks: by a balancer's own connections",
-                Status.RUNS,
+                Status.IMPLEMENTED,
                 "silence, resets, failed attempts",
             ),
             Mechanism(
-                "outlier ejection with backoff and trials", Status.RUNS, "`balance`; nothing is shared"
+                "outlier ejection with backoff and trials", Status.IMPLEMENTED, "`balance`; nothing is shared"
             ),
-            Mechanism("heartbeats and leases at a store", Status.ELSEWHERE, "what the list is made from"),
+            Mechanism("heartbeats and leases at a store", Status.EXTERNAL, "what the list is made from"),
             Mechanism(
                 "gossip among balancers (SWIM)", Status.MISSING, "needs control talk between machines; asked"
             ),
@@ -128,10 +147,10 @@
 
 def silent_after() -> Quantity:
     """When a standing connection with an unanswered line is moved: set in this program."""
-    return told(SILENT_S, "s")
+    return specified(SILENT_S, "s")
 
 
-def detection_figures(inputs: Inputs) -> dict[str, Quantity]:
+def detection_quantities(inputs: Inputs) -> dict[str, Quantity]:
     """What the chapter on detection quotes."""
     return {
         "detection.machines": machines(inputs),
--- a/benchmarks/capacity/inputs.py
+++ b/benchmarks/capacity/inputs.py
@@ -7,7 +7,7 @@
 from functools import cached_property
 
 from benchmarks.capacity.measurements import Measurements
-from benchmarks.capacity.quantity import Quantity, assumed, derived, told
+from benchmarks.capacity.quantity import Quantity, assumed, derived, specified
 from benchmarks.capacity.targets import Targets
 from puffinford.operators import RelaySettings
 from puffinford.server_list.discovery import RELAYED_TIMING, WATCH_WAIT_MS
@@ -21,7 +21,7 @@
     """One fleet's targets and the results; what follows from both in one step."""
 
     targets: Targets
-    measured: Measurements
+    measurements: Measurements
 
     def assumed(self, name: str) -> Quantity:
         """An assumption, by its name in the file of targets."""
@@ -32,135 +32,140 @@
         return self.targets.assumed.server_counts
 
     @cached_property
-    def most_servers(self) -> Quantity:
+    def max_servers(self) -> Quantity:
         """The greatest of the assumed numbers of servers."""
         return assumed(self.server_counts[-1], "servers")
 
     @cached_property
     def balancers(self) -> Quantity:
-        return told(self.targets.fleet.balancers, "balancers")
+        return specified(self.targets.fleet.balancers, "balancers")
 
     @cached_property
     def zones(self) -> Quantity:
-        return told(self.targets.fleet.zones, "zones")
+        return specified(self.targets.fleet.zones, "zones")
 
     @cached_property
     def control_machines(self) -> Quantity:
-        return told(self.targets.budget.machines, "machines")
+        return specified(self.targets.budget.machines, "machines")
 
     @cached_property
-    def connections_each(self) -> Quantity:
+    def connections_per_balancer(self) -> Quantity:
         """Standing connections of a balancer."""
         fleet = self.targets.fleet
-        return told(fleet.connections / fleet.balancers, "connections")
+        return specified(fleet.connections / fleet.balancers, "connections")
 
     @cached_property
-    def deliveries_each(self) -> Quantity:
+    def deliveries_per_balancer(self) -> Quantity:
         """Deliveries a second of a balancer, in the mean."""
         fleet = self.targets.fleet
-        return told(fleet.deliveries_per_s / fleet.balancers, "/s")
+        return specified(fleet.deliveries_per_s / fleet.balancers, "/s")
 
     @cached_property
     def changes_per_s(self) -> Quantity:
         """Changes of configuration a second, in the mean of a day."""
-        return told(self.targets.changes.per_day / DAY_S, "/s")
+        return specified(self.targets.changes.per_day / DAY_S, "/s")
 
     @cached_property
-    def in_force_within(self) -> Quantity:
-        return told(self.targets.changes.in_force_within_s, "s")
+    def change_deadline(self) -> Quantity:
+        return specified(self.targets.changes.in_force_within_s, "s")
 
     @cached_property
     def largest_burst(self) -> Quantity:
-        return told(max(self.targets.changes.bursts), "changes")
+        return specified(max(self.targets.changes.bursts), "changes")
 
     @cached_property
     def core_budget(self) -> Quantity:
-        return told(self.targets.budget.core_pct, "%")
+        return specified(self.targets.budget.core_pct, "%")
 
     @cached_property
     def memory_budget(self) -> Quantity:
-        return told(self.targets.budget.memory_mb * 1e6, "B")
+        return specified(self.targets.budget.memory_mb * 1e6, "B")
 
     @cached_property
     def bytes_budget(self) -> Quantity:
-        return told(self.targets.budget.bytes_per_s, "B/s")
+        return specified(self.targets.budget.bytes_per_s, "B/s")
 
     @cached_property
     def watch_wait(self) -> Quantity:
         """For how long a balancer's watch waits at the list service: set in this program."""
-        return told(WATCH_WAIT_MS / 1_000.0, "s")
+        return specified(WATCH_WAIT_MS / 1_000.0, "s")
 
     @cached_property
     def relay_watch_wait(self) -> Quantity:
         """The same at a relay."""
-        return told(RELAYED_TIMING.wait / 1_000.0, "s")
+        return specified(RELAYED_TIMING.wait / 1_000.0, "s")
 
     def relay_setting(self, name: str) -> Quantity:
         """A duration of the relay's settings, by its default."""
-        return told(getattr(RelaySettings(), name) / 1_000.0, "s")
+        return specified(getattr(RelaySettings(), name) / 1_000.0, "s")
 
     @cached_property
-    def list_rate(self) -> Quantity:
+    def list_service_rate(self) -> Quantity:
         """Calls a second that the one list service answers."""
         return derived("/s", lambda service: 1.0 / service, self.assumed("list_service_ms"))
 
     @cached_property
     def line_cost(self) -> Quantity:
         """Processor time of one delivered line."""
-        return self.measured.each(
+        return self.measurements.unit_cost(
             "data.line_us", self.targets.fleet.deliveries_per_s / self.targets.fleet.balancers
         )
 
     @cached_property
     def connection_memory(self) -> Quantity:
         """Resident memory of one standing connection in a process."""
-        standing = self.standing_a_process
-        found = self.measured.each("data.connection_kib", standing.value or 0.0)
+        standing = self.connections_per_process
+        found = self.measurements.unit_cost("data.connection_kib", standing.value or 0.0)
         return derived("B", lambda each, _: each, found, standing)
 
     @cached_property
-    def data_cores(self) -> Quantity:
+    def delivery_cores(self) -> Quantity:
         """Cores that a balancer's deliveries take, in the mean."""
-        return derived("cores", lambda rate, cost: rate * cost, self.deliveries_each, self.line_cost)
+        return derived("cores", lambda rate, cost: rate * cost, self.deliveries_per_balancer, self.line_cost)
 
     @cached_property
-    def process_cores(self) -> Quantity:
+    def process_core_budget(self) -> Quantity:
         """The part of its one core that a process may be busy."""
         return derived("cores", lambda part: part / PERCENT, self.assumed("process_core_pct"))
 
     @cached_property
-    def processes_each(self) -> Quantity:
+    def processes_per_balancer(self) -> Quantity:
         """Processes of ours that carry one balancer's deliveries."""
         return derived(
             "processes",
             lambda cores, most: max(1, math.ceil(cores / most)),
-            self.data_cores,
-            self.process_cores,
+            self.delivery_cores,
+            self.process_core_budget,
         )
 
     @cached_property
-    def assumed_cores(self) -> Quantity:
+    def cores_per_machine(self) -> Quantity:
         """Cores of one machine."""
         return assumed(self.targets.assumed.machine_cores.value, "cores")
 
     @cached_property
-    def standing_a_process(self) -> Quantity:
+    def connections_per_process(self) -> Quantity:
         """Standing connections of one of a balancer's processes."""
         return derived(
-            "connections", lambda count, parts: count / parts, self.connections_each, self.processes_each
+            "connections",
+            lambda count, parts: count / parts,
+            self.connections_per_balancer,
+            self.processes_per_balancer,
         )
 
     @cached_property
-    def watchers_by_process(self) -> Quantity:
+    def watches_per_process_total(self) -> Quantity:
         """Watches of the list, where each process of each balancer has its own."""
-        return derived("watches", lambda count, parts: count * parts, self.balancers, self.processes_each)
+        return derived(
+            "watches", lambda count, parts: count * parts, self.balancers, self.processes_per_balancer
+        )
 
-    def at_quantity(self, series: str, over: str, size: Quantity) -> Quantity:
+    def measured_at_quantity(self, series: str, over: str, size: Quantity) -> Quantity:
         """A series at a size that is itself reckoned; its basis is the weaker of both."""
-        found = self.measured.at(series, over, size.value or 0.0)
+        found = self.measurements.at(series, over, size.value or 0.0)
         return derived(found.unit, lambda value, _: value, found, size)
 
     def per_control_machine(self, quantity: Quantity, lost: int = 0) -> Quantity:
         """A quantity of the fleet, shared evenly by the control machines that are left."""
-        left = told(max(1, self.targets.budget.machines - lost), "machines")
+        left = specified(max(1, self.targets.budget.machines - lost), "machines")
         return derived(quantity.unit, lambda whole, machines: whole / machines, quantity, left)
--- a/benchmarks/capacity/measurements.py
+++ b/benchmarks/capacity/measurements.py
@@ -87,13 +87,13 @@
         return Quantity(max(0.0, value), unit, Basis.EXTRAPOLATED, (measured,))
 
     def _between(self, size: float) -> float:
-        for number, upper in enumerate(self.sizes):
+        for position, upper in enumerate(self.sizes):
             if upper == size:
-                return self.medians[number]
+                return self.medians[position]
             if upper > size:
-                lower = self.sizes[number - 1]
+                lower = self.sizes[position - 1]
                 part = (size - lower) / (upper - lower)
-                return self.medians[number - 1] * (1.0 - part) + self.medians[number] * part
+                return self.medians[position - 1] * (1.0 - part) + self.medians[position] * part
         return self.medians[-1]
 
 
@@ -103,10 +103,10 @@
     def __init__(self, results: SlopeResults | None) -> None:
         self._points = results.points if results else []
         self._fits = results.fits if results else []
-        for number, point in enumerate(self._points):
-            _check_unit(point, f"slopes.json: $.points[{number}].unit")
-        for number, fit in enumerate(self._fits):
-            _check_unit(fit, f"slopes.json: $.fits[{number}].unit")
+        for position, point in enumerate(self._points):
+            _check_unit(point, f"slopes.json: $.points[{position}].unit")
+        for position, fit in enumerate(self._fits):
+            _check_unit(fit, f"slopes.json: $.fits[{position}].unit")
         self._known: dict[tuple[str, str], dict[Fixed, _Curve]] = {}
 
     def at(self, series: str, over: str, size: float, **near: float) -> Quantity:
@@ -126,12 +126,12 @@
         ranges = tuple(sorted({*found.ranges, *elsewhere}))
         return replace(found, basis=Basis.EXTRAPOLATED, ranges=ranges)
 
-    def nearest(self, series: str, over: str, name: str, wanted: float) -> float:
+    def nearest_input(self, series: str, over: str, name: str, wanted: float) -> float:
         """The measured value of the input `name` nearest to the wanted one, where `over` varied."""
         curves = self._curves(series, over)
         return dict(_nearest(curves, {name: wanted})).get(name, wanted) if curves else wanted
 
-    def each(self, series: str, size: float, **near: float) -> Quantity:
+    def unit_cost(self, series: str, size: float, **near: float) -> Quantity:
         """What one of `size` costs, by a series of costs for each one.
 
         Beyond the measured range the cost at the greatest measured size is taken, as extrapolated. Without an
--- a/benchmarks/capacity/model.py
+++ b/benchmarks/capacity/model.py
@@ -18,7 +18,7 @@
 from benchmarks.capacity.inputs import Inputs
 from benchmarks.capacity.measurements import Measurements
 from benchmarks.capacity.quantity import Quantity
-from benchmarks.capacity.roles import Ranked, Role, Status
+from benchmarks.capacity.roles import RankedQuantity, Role, Status
 from benchmarks.capacity.targets import Targets
 from benchmarks.scale.records import RunResults, ScaleRun, SlopeResults
 
@@ -31,31 +31,31 @@
     slopes: SlopeResults | None
     runs: list[ScaleRun]
     roles: list[Role]
-    figures: dict[str, Quantity]  # that the text quotes, by name
+    named_quantities: dict[str, Quantity]  # that the text quotes, by name
     hops: list[delivery.Hop]
-    ways: list[shards.Way]
+    lookup_options: list[shards.LookupOption]
     loads: list[lists.RelayLoad]
     losses: list[reconnecting.Loss]
-    ranking: list[Ranked]
+    ranking: list[RankedQuantity]
 
     @property
-    def first(self) -> Ranked | None:
+    def first_to_build(self) -> RankedQuantity | None:
         """The ranked quantity whose mechanism is built first."""
-        return ranking.first(self.ranking)
+        return ranking.first_to_build(self.ranking)
 
     @property
-    def above_first(self) -> list[Ranked]:
+    def ranked_above_first(self) -> list[RankedQuantity]:
         """What is further over its budget than that."""
-        built = self.first
+        built = self.first_to_build
         return self.ranking[: self.ranking.index(built)] if built else []
 
     def quantities(self) -> Iterator[Quantity]:
         """All quantities that the page may show, with the parts of its tables."""
-        yield from self.figures.values()
+        yield from self.named_quantities.values()
         for role in self.roles:
             yield from (row.quantity for row in role.rows)
         for load in self.loads:
-            yield load.told_last
+            yield load.last_notified_after
         for entry in self.ranking:
             yield entry.quantity
 
@@ -63,17 +63,17 @@
         """Those of the table of ranks."""
         return [quantity for entry in self.ranking for quantity in (entry.quantity, entry.budget)]
 
-    def process_quantities(self) -> list[Quantity]:
+    def process_count_quantities(self) -> list[Quantity]:
         """Those of the chapter on what a balancer is."""
-        return [quantity for name, quantity in self.figures.items() if name.startswith("data.")]
+        return [quantity for name, quantity in self.named_quantities.items() if name.startswith("data.")]
 
     def load_quantities(self) -> list[Quantity]:
         """Those of the table of relays."""
-        return [quantity for load in self.loads for quantity in (load.core, load.told_last)]
+        return [quantity for load in self.loads for quantity in (load.core_pct, load.last_notified_after)]
 
     def loss_quantities(self) -> list[Quantity]:
         """Those of the table of losses."""
-        return [quantity for one in self.losses for quantity in (one.plain, one.encrypted)]
+        return [quantity for one in self.losses for quantity in (one.plain_time, one.encrypted_time)]
 
     @property
     def missing(self) -> list[str]:
@@ -81,21 +81,21 @@
         return sorted({series for one in self.quantities() for series in one.missing})
 
 
-def capacity(targets: Targets, slopes: SlopeResults | None, runs: RunResults | None) -> Capacity:
+def compute_capacity(targets: Targets, slopes: SlopeResults | None, runs: RunResults | None) -> Capacity:
     """The capacity of a fleet by what was measured; None: nothing was."""
     inputs = Inputs(targets, Measurements(slopes))
     shown = runs.runs if runs else []
-    figures: dict[str, Quantity] = {}
+    named_quantities: dict[str, Quantity] = {}
     for part in (
-        balancer.data_figures,
-        lists.list_figures,
-        shards.shard_figures,
-        delivery.delivery_figures,
-        detection.detection_figures,
-        configuration.configuration_figures,
-        reconnecting.reconnecting_figures,
+        balancer.data_path_quantities,
+        lists.list_quantities,
+        shards.shard_quantities,
+        delivery.delivery_quantities,
+        detection.detection_quantities,
+        configuration.configuration_quantities,
+        reconnecting.reconnecting_quantities,
     ):
-        figures |= part(inputs)
+        named_quantities |= part(inputs)
     return Capacity(
         targets=targets,
         slopes=slopes,
@@ -103,16 +103,16 @@
         roles=[
             balancer.control(inputs),
             balancer.data_path(inputs),
-            lists.service(inputs, relay_status(shown)),
+            lists.list_service_role(inputs, relay_status(shown)),
             shards.holder(inputs),
             delivery.delivery(inputs),
             detection.detection(inputs),
             configuration.configuration(inputs),
             reconnecting.reconnecting(inputs),
         ],
-        figures=figures,
+        named_quantities=named_quantities,
         hops=delivery.tree(inputs),
-        ways=shards.ways(inputs),
+        lookup_options=shards.lookup_options(inputs),
         loads=lists.relay_loads(inputs),
         losses=reconnecting.losses(inputs),
         ranking=ranking.ranking(inputs),
@@ -121,4 +121,4 @@
 
 def relay_status(runs: list[ScaleRun]) -> Status:
     """Runs here once a run with relays held its size; begun until then."""
-    return Status.RUNS if any(run.relays > 0 and run.held for run in runs) else Status.BEGUN
+    return Status.IMPLEMENTED if any(run.relays > 0 and run.held for run in runs) else Status.PARTIAL
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -12,18 +12,18 @@
 from benchmarks.capacity.delivery import Hop
 from benchmarks.capacity.lists import RelayLoad
 from benchmarks.capacity.model import Capacity
-from benchmarks.capacity.quantity import Quantity, number, scaled, total
+from benchmarks.capacity.quantity import Quantity, format_number, format_value, total
 from benchmarks.capacity.reconnecting import Loss
-from benchmarks.capacity.roles import Mechanism, Ranked, Role, Row
-from benchmarks.capacity.shards import Way
+from benchmarks.capacity.roles import Mechanism, RankedQuantity, Role, Row
+from benchmarks.capacity.shards import LookupOption
 from benchmarks.capacity.targets import Assumptions, unit_of
 from benchmarks.scale.records import Fit, Provenance, ScaleRun
 
 TEMPLATE = "page.md.j2"
-NONE = "-"
-WIDTH = 120
-_FILL = textwrap.TextWrapper(WIDTH, break_long_words=False, break_on_hyphens=False)
-LEAST_SHOWN = 0.01  # of multiples
+EMPTY_CELL = "-"
+LINE_WIDTH = 120
+_FILL = textwrap.TextWrapper(LINE_WIDTH, break_long_words=False, break_on_hyphens=False)
+MIN_MULTIPLE = 0.01  # of multiples
 
 
 def render(capacity: Capacity) -> str:
@@ -40,30 +40,32 @@
         role_table=role_table,
         mechanism_table=mechanism_table,
         ranking_table=ranking_table,
-        way_table=way_table,
+        lookup_option_table=lookup_option_table,
         hop_table=hop_table,
         loss_table=loss_table,
-        load_table=load_table,
+        relay_load_table=relay_load_table,
         run_table=run_table,
-        load_run_table=load_run_table,
+        run_cost_table=run_cost_table,
         fit_table=fit_table,
         provenance_table=provenance_table,
         assumption_table=assumption_table,
-        number=number,
+        format_number=format_number,
         ranges_of=ranges_of,
     )
     roles = {role.key: role for role in capacity.roles}
-    page = environment.get_template(TEMPLATE).render(capacity=capacity, q=capacity.figures, roles=roles)
-    return wrapped(page)
+    page = environment.get_template(TEMPLATE).render(
+        capacity=capacity, q=capacity.named_quantities, roles=roles
+    )
+    return wrap_blocks(page)
 
 
-def wrapped(page: str) -> str:
+def wrap_blocks(page: str) -> str:
     """The page with its paragraphs and points filled, and one empty line between blocks."""
     blocks = [block.strip("\n") for block in re.split(r"\n{2,}", page)]
-    return "\n\n".join(_filled(block) for block in blocks if block.strip()) + "\n"
+    return "\n\n".join(_fill_block(block) for block in blocks if block.strip()) + "\n"
 
 
-def _filled(block: str) -> str:
+def _fill_block(block: str) -> str:
     if block.startswith(("|", "#")):
         return block
     points = re.split(r"\n(?=- )", block)
@@ -77,14 +79,14 @@
     return "\n".join("| " + " | ".join(line) + " |" for line in lines)
 
 
-def times(quantity: Quantity | None) -> str:
+def format_multiple(quantity: Quantity | None) -> str:
     """A multiple of a budget, with its short mark."""
     if quantity is None:
-        return NONE
+        return EMPTY_CELL
     if quantity.value is None:
         return quantity.short
-    small = quantity.value < LEAST_SHOWN
-    shown = f"under {LEAST_SHOWN}" if small else number(quantity.value)
+    small = quantity.value < MIN_MULTIPLE
+    shown = f"under {MIN_MULTIPLE}" if small else format_number(quantity.value)
     return f"{shown} ({quantity.short_mark})"
 
 
@@ -96,8 +98,8 @@
     by_series: dict[str, list[str]] = {}
     for measured in ranges:
         by_series.setdefault(measured.series, []).append(str(measured))
-    told = "; ".join(f"`{series}` at {', '.join(sizes)}" for series, sizes in by_series.items())
-    return f"(x) goes beyond what was measured: {told}."
+    described = "; ".join(f"`{series}` at {', '.join(sizes)}" for series, sizes in by_series.items())
+    return f"(x) goes beyond what was measured: {described}."
 
 
 def role_table(role: Role) -> str:
@@ -109,7 +111,13 @@
         markdown_table(
             ("kind", "quantity", "value", "budget", "multiple of it"),
             (
-                (row.kind.value, row.name, row.quantity.short, budget_of(row), times(row.multiple))
+                (
+                    row.kind.value,
+                    row.name,
+                    row.quantity.short,
+                    format_budget(row),
+                    format_multiple(row.multiple),
+                )
                 for row in plain
             ),
         )
@@ -124,30 +132,30 @@
     found = {(row.kind, row.name, row.servers): row for row in rows}
     names = dict.fromkeys((row.kind, row.name) for row in rows)
     return markdown_table(
-        ("kind", "quantity", "budget", *(f"{number(count)} servers" for count in counts)),
+        ("kind", "quantity", "budget", *(f"{format_number(count)} servers" for count in counts)),
         (
             (
                 kind.value,
                 name,
-                budget_of(found[kind, name, counts[0]]),
-                *(value_and_times(found[kind, name, count]) for count in counts),
+                format_budget(found[kind, name, counts[0]]),
+                *(format_value_and_multiple(found[kind, name, count]) for count in counts),
             )
             for kind, name in names
         ),
     )
 
 
-def budget_of(row: Row) -> str:
-    return NONE if row.budget is None else row.budget.short
+def format_budget(row: Row) -> str:
+    return EMPTY_CELL if row.budget is None else row.budget.short
 
 
-def value_and_times(row: Row) -> str:
+def format_value_and_multiple(row: Row) -> str:
     """A value, and how many times its budget it is."""
     found = row.multiple
     if found is None or found.value is None:
         return row.quantity.short
-    small = found.value < LEAST_SHOWN
-    return f"{row.quantity.short}: {f'under {LEAST_SHOWN}' if small else number(found.value)} times"
+    small = found.value < MIN_MULTIPLE
+    return f"{row.quantity.short}: {f'under {MIN_MULTIPLE}' if small else format_number(found.value)} times"
 
 
 def mechanism_table(mechanisms: Iterable[Mechanism]) -> str:
@@ -158,17 +166,17 @@
     )
 
 
-def ranking_table(entries: Iterable[Ranked]) -> str:
+def ranking_table(entries: Iterable[RankedQuantity]) -> str:
     """What is over its budget by today's mechanisms, the greatest first."""
     return markdown_table(
         ("multiple", "quantity", "value", "budget", "carried by", "remark"),
         (
             (
-                times(entry.multiple),
+                format_multiple(entry.multiple),
                 entry.name,
                 entry.quantity.short,
                 entry.budget.short,
-                entry.carrier.value,
+                entry.remedy.value,
                 entry.verdict,
             )
             for entry in entries
@@ -176,7 +184,7 @@
     )
 
 
-def way_table(ways: Iterable[Way]) -> str:
+def lookup_option_table(lookup_options: Iterable[LookupOption]) -> str:
     """How a balancer learns who serves a shard."""
     return markdown_table(
         (
@@ -187,7 +195,17 @@
             "its age",
             "verdict",
         ),
-        ((way.name, str(way.state), str(way.mean), str(way.zone), way.age, way.verdict) for way in ways),
+        (
+            (
+                option.name,
+                str(option.state),
+                str(option.mean_rate),
+                str(option.zone_loss_time),
+                option.age,
+                option.verdict,
+            )
+            for option in lookup_options
+        ),
     )
 
 
@@ -199,13 +217,13 @@
             hop.nodes.amount,
             hop.children.amount,
             hop.sending.short,
-            hop.way.short,
-            hop.queue.short,
+            hop.latency.short,
+            hop.queueing_time.short,
         )
         for hop in hops
     ]
-    sending, way = (total(*(getattr(hop, part) for hop in hops)) for part in ("sending", "way"))
-    rows.append(("together", "", "", sending.short, way.short, queue.short))
+    sending, latency = (total(*(getattr(hop, part) for hop in hops)) for part in ("sending", "latency"))
+    rows.append(("together", "", "", sending.short, latency.short, queue.short))
     heads = ("hop", "receivers", "children of a sender", "sending", "way", "queue, told part")
     return "\n\n".join(part for part in (markdown_table(heads, rows), ranges_of([together])) if part)
 
@@ -227,19 +245,19 @@
             (
                 one.name,
                 one.clients.amount,
-                one.each.amount,
-                one.held.amount,
-                one.plain.short,
-                one.encrypted.short,
+                one.clients_per_balancer.amount,
+                one.connections_held.amount,
+                one.plain_time.short,
+                one.encrypted_time.short,
                 one.admission.short,
-                one.window.short,
+                one.jitter_window.short,
             )
             for one in losses
         ),
     )
 
 
-def load_table(loads: Iterable[RelayLoad]) -> str:
+def relay_load_table(loads: Iterable[RelayLoad]) -> str:
     """What relays carry."""
     return markdown_table(
         (
@@ -255,13 +273,13 @@
         (
             (
                 one.title,
-                number(one.balancers.value or 0.0),
+                format_number(one.balancers_per_relay.value or 0.0),
                 one.idle_calls.short,
-                one.core.short,
+                one.core_pct.short,
                 one.answer_time.short,
                 one.upstream_calls.short,
                 one.upstream_time.short,
-                one.told_last.short,
+                one.last_notified_after.short,
             )
             for one in loads
         ),
@@ -272,73 +290,73 @@
     """Until when balancers had the changes, by runs of hollow ones beside real ones."""
     heads = (
         "story", "relays", "hollow", "real", "processes", "servers", "service", "p50", "p99", "last",
-        "without it", "real p99", "real last", f"99 in 100 within {number(within_s)} s", "held",
+        "without it", "real p99", "real last", f"99 in 100 within {format_number(within_s)} s", "held",
         "hollow loops late", "lost",
     )  # fmt: skip
-    return markdown_table(heads, (run_row(run, within_s) for run in in_order(runs)))
+    return markdown_table(heads, (run_row(run, within_s) for run in sorted_runs(runs)))
 
 
-def in_order(runs: Iterable[ScaleRun]) -> list[ScaleRun]:
+def sorted_runs(runs: Iterable[ScaleRun]) -> list[ScaleRun]:
     """Runs of one story and size next to one another, without relays first."""
     return sorted(runs, key=lambda run: (run.story, run.hollow, run.servers, run.service_ms, run.relays))
 
 
 def run_row(run: ScaleRun, within_s: float) -> tuple[str, ...]:
     """One run: its size, seconds after the change at the source, and whether it held."""
-    ours, theirs = run.told_hollow, run.told_real
-    missed = ours.missed + theirs.missed
-    in_time = missed == 0 and max(ours.p99_s, theirs.p99_s) <= within_s
+    hollow, real = run.told_hollow, run.told_real
+    missed = hollow.missed + real.missed
+    in_time = missed == 0 and max(hollow.p99_s, real.p99_s) <= within_s
     return (
         run.story,
         str(run.relays),
-        number(run.hollow),
-        number(run.real),
+        format_number(run.hollow),
+        format_number(run.real),
         str(run.processes),
-        number(run.servers),
-        f"{number(run.service_ms)} ms",
-        f"{number(ours.p50_s)} s",
-        f"{number(ours.p99_s)} s",
-        f"{number(ours.last_s)} s",
-        number(missed),
-        f"{number(theirs.p99_s)} s",
-        f"{number(theirs.last_s)} s",
+        format_number(run.servers),
+        f"{format_number(run.service_ms)} ms",
+        f"{format_number(hollow.p50_s)} s",
+        f"{format_number(hollow.p99_s)} s",
+        f"{format_number(hollow.last_s)} s",
+        format_number(missed),
+        f"{format_number(real.p99_s)} s",
+        f"{format_number(real.last_s)} s",
         "yes" if in_time else "**no**",
         "yes" if run.held else "**no**",
-        f"{number(run.late_p99_s)} s",
-        f"{number(100.0 * run.lost_part)}%",
+        f"{format_number(run.late_p99_s)} s",
+        f"{format_number(100.0 * run.lost_part)}%",
     )
 
 
-def load_run_table(runs: Iterable[ScaleRun]) -> str:
+def run_cost_table(runs: Iterable[ScaleRun]) -> str:
     """What the same runs cost; of a core, the mean over a run."""
     heads = (
         "story", "relays", "hollow", "calls at the source", "peak", "sent", "its core", "calls of a balancer",
         "bytes", "hollow's core", "hollow's memory", "real's core", "real's memory", "relay's core, most",
         "relay's memory", "relay sends",
     )  # fmt: skip
-    return markdown_table(heads, (load_run_row(run) for run in in_order(runs)))
+    return markdown_table(heads, (run_cost_row(run) for run in sorted_runs(runs)))
 
 
-def load_run_row(run: ScaleRun) -> tuple[str, ...]:
+def run_cost_row(run: ScaleRun) -> tuple[str, ...]:
     """What one run cost."""
     relays = run.relays > 0
     return (
         run.story,
         str(run.relays),
-        number(run.hollow),
-        scaled(run.source_calls_per_s, "/s"),
-        scaled(run.source_calls_peak, "/s"),
-        scaled(run.source_bytes_per_s, "B/s"),
-        scaled(run.source_core_pct, "%"),
-        scaled(run.calls_per_balancer_s, "/s"),
-        scaled(run.bytes_per_balancer_s, "B/s"),
-        scaled(run.hollow_core_pct, "%"),
-        f"{number(run.hollow_kib)} KiB",
-        scaled(run.real_core_pct, "%"),
-        f"{number(run.real_mib)} MiB",
-        scaled(run.relay_core_pct_most, "%") if relays else NONE,
-        f"{number(run.relay_mib)} MiB" if relays else NONE,
-        scaled(run.relay_bytes_per_s, "B/s") if relays else NONE,
+        format_number(run.hollow),
+        format_value(run.source_calls_per_s, "/s"),
+        format_value(run.source_calls_peak, "/s"),
+        format_value(run.source_bytes_per_s, "B/s"),
+        format_value(run.source_core_pct, "%"),
+        format_value(run.calls_per_balancer_s, "/s"),
+        format_value(run.bytes_per_balancer_s, "B/s"),
+        format_value(run.hollow_core_pct, "%"),
+        f"{format_number(run.hollow_kib)} KiB",
+        format_value(run.real_core_pct, "%"),
+        f"{format_number(run.real_mib)} MiB",
+        format_value(run.relay_core_pct_most, "%") if relays else EMPTY_CELL,
+        f"{format_number(run.relay_mib)} MiB" if relays else EMPTY_CELL,
+        format_value(run.relay_bytes_per_s, "B/s") if relays else EMPTY_CELL,
     )
 
 
@@ -350,8 +368,9 @@
             (
                 fit.series,
                 fit.over,
-                ", ".join(f"{name} {number(size)}" for name, size in sorted(fit.fixed.items())) or NONE,
-                f"{number(fit.low)} to {number(fit.high)}",
+                ", ".join(f"{name} {format_number(size)}" for name, size in sorted(fit.fixed.items()))
+                or EMPTY_CELL,
+                f"{format_number(fit.low)} to {format_number(fit.high)}",
                 f"{fit.slope:.3g} {fit.unit}",
                 f"{fit.slope_low:.3g} to {fit.slope_high:.3g}",
                 f"{fit.intercept:.3g}",
@@ -369,9 +388,9 @@
         (
             one.date,
             one.commit,
-            f"{one.machine.cores} cores, {number(one.machine.memory_gib)} GiB, "
+            f"{one.machine.cores} cores, {format_number(one.machine.memory_gib)} GiB, "
             f"{one.machine.python}, {one.machine.system}",
-            one.remarks or NONE,
+            one.remarks or EMPTY_CELL,
         )
         for one in measured
     ]
@@ -380,9 +399,9 @@
 
 def assumption_table(assumptions: Assumptions) -> str:
     """Everything that is assumed, with its reasons."""
-    counts = ", ".join(number(count) for count in assumptions.server_counts)
+    counts = ", ".join(format_number(count) for count in assumptions.server_counts)
     rows = [("server counts", counts, "the operators do not tell how many")]
-    for name, assumption in assumptions.single().items():
+    for name, assumption in assumptions.single_values().items():
         unit, _ = unit_of(name)
         ending = {"%": "pct"}.get(unit, name.rpartition("_")[2]) if unit else ""
         title = name.removesuffix("_per_s").removesuffix(f"_{ending}").replace("_", " ")
--- a/benchmarks/capacity/quantity.py
+++ b/benchmarks/capacity/quantity.py
@@ -14,8 +14,8 @@
     "B": ((1e12, "TB"), (1e9, "GB"), (1e6, "MB"), (1e3, "kB"), (1.0, "B")),
     "B/s": ((1e9, "GB/s"), (1e6, "MB/s"), (1e3, "kB/s"), (1.0, "B/s")),
 }
-_MINUTE = 60.0
-_IRREGULAR = {
+_MINUTE_S = 60.0
+_SINGULAR_NOUNS = {
     "processes": "process",
     "watches": "watch",
     "children": "child",
@@ -28,13 +28,13 @@
 class Basis(enum.IntEnum):
     """What a figure rests on; of several the greatest, which is the weakest, counts."""
 
-    TOLD = 0
+    SPECIFIED = 0
     MEASURED = 1
     EXTRAPOLATED = 2
     ASSUMED = 3
 
 
-MARKS = {Basis.TOLD: "t", Basis.MEASURED: "m", Basis.EXTRAPOLATED: "x", Basis.ASSUMED: "a"}
+MARKS = {Basis.SPECIFIED: "t", Basis.MEASURED: "m", Basis.EXTRAPOLATED: "x", Basis.ASSUMED: "a"}
 
 
 @dataclass(frozen=True, order=True)
@@ -48,8 +48,8 @@
 
     def __str__(self) -> str:
         if self.low == self.high:
-            return f"{self.over} {number(self.low)}"
-        return f"{self.over} {number(self.low)} to {number(self.high)}"
+            return f"{self.over} {format_number(self.low)}"
+        return f"{self.over} {format_number(self.low)} to {format_number(self.high)}"
 
 
 @dataclass(frozen=True)
@@ -91,15 +91,15 @@
         """The value with its unit, without the mark."""
         if self.value is None:
             return NOT_MEASURED
-        return scaled(self.value, self.unit)
+        return format_value(self.value, self.unit)
 
     def __str__(self) -> str:
         return self.amount if self.value is None else f"{self.amount} ({self.mark})"
 
 
-def told(value: float, unit: str) -> Quantity:
+def specified(value: float, unit: str) -> Quantity:
     """A figure of the operators' letter."""
-    return Quantity(float(value), unit, Basis.TOLD)
+    return Quantity(float(value), unit, Basis.SPECIFIED)
 
 
 def assumed(value: float, unit: str) -> Quantity:
@@ -116,30 +116,30 @@
     """What `function` makes of the inputs' values; its basis is the weakest of theirs."""
     missing = tuple(sorted({series for one in inputs for series in one.missing}))
     ranges = tuple(sorted({measured for one in inputs for measured in one.ranges}))
-    basis = max((one.basis for one in inputs), default=Basis.TOLD)
+    basis = max((one.basis for one in inputs), default=Basis.SPECIFIED)
     values = [one.value for one in inputs if one.value is not None]
     if len(values) < len(inputs):
         return Quantity(None, unit, basis, ranges, missing)
     return Quantity(float(function(*values)), unit, basis, ranges, missing)
 
 
-def greatest(*inputs: Quantity) -> Quantity:
+def maximum(*inputs: Quantity) -> Quantity:
     """The greatest of quantities of one unit."""
-    return derived(one_unit(*inputs), lambda *values: max(values), *inputs)
+    return derived(common_unit(*inputs), lambda *values: max(values), *inputs)
 
 
 def total(*inputs: Quantity) -> Quantity:
     """The sum of quantities of one unit."""
-    return derived(one_unit(*inputs), lambda *values: sum(values), *inputs)
+    return derived(common_unit(*inputs), lambda *values: sum(values), *inputs)
 
 
 def multiple(quantity: Quantity, budget: Quantity) -> Quantity:
     """How many times the budget a quantity is; raises ValueError where their units differ."""
-    one_unit(quantity, budget)
+    common_unit(quantity, budget)
     return derived("times", lambda value, most: value / most, quantity, budget)
 
 
-def one_unit(*inputs: Quantity) -> str:
+def common_unit(*inputs: Quantity) -> str:
     """The unit that all inputs have; raises ValueError."""
     units = {one.unit for one in inputs}
     if len(units) != 1:
@@ -147,7 +147,7 @@
     return units.pop()
 
 
-def number(value: float) -> str:
+def format_number(value: float) -> str:
     """Three significant digits, and whole numbers from 1,000 on with commas."""
     if value == 0.0:
         return "0"
@@ -161,20 +161,20 @@
     return text.rstrip("0").rstrip(".") if "." in text else text
 
 
-def scaled(value: float, unit: str) -> str:
+def format_value(value: float, unit: str) -> str:
     """A value in the multiple of its unit that suits its size."""
     scales = _SCALES.get(unit)
     if scales is None:
         parted = "" if unit in ("%", "/s") else " "
-        return f"{number(value)}{parted}{_noun(unit, value)}".rstrip()
+        return f"{format_number(value)}{parted}{_unit_noun(unit, value)}".rstrip()
     scale, name = next((one for one in scales if abs(value) >= one[0]), (1.0, unit))
     if name == "min":
-        scale = _MINUTE
-    return f"{number(value / scale)} {name}"
+        scale = _MINUTE_S
+    return f"{format_number(value / scale)} {name}"
 
 
-def _noun(unit: str, value: float) -> str:
+def _unit_noun(unit: str, value: float) -> str:
     """A unit that is a noun in the number of its value."""
     if value != 1.0:
         return unit
-    return _IRREGULAR.get(unit, unit.removesuffix("s"))
+    return _SINGULAR_NOUNS.get(unit, unit.removesuffix("s"))
--- a/benchmarks/capacity/ranking.py
+++ b/benchmarks/capacity/ranking.py
@@ -9,10 +9,10 @@
 from benchmarks.capacity import balancer, configuration, delivery, lists, reconnecting, shards
 from benchmarks.capacity.inputs import Inputs
 from benchmarks.capacity.quantity import assumed
-from benchmarks.capacity.roles import Carrier, Ranked
+from benchmarks.capacity.roles import RankedQuantity, Remedy
 
 
-def ranking(inputs: Inputs) -> list[Ranked]:
+def ranking(inputs: Inputs) -> list[RankedQuantity]:
     """All ranked quantities, the greatest multiple of its budget first and the unmeasured ones last."""
     entries = [*_fleet(inputs), *_balancer(inputs)]
     return sorted(
@@ -20,161 +20,161 @@
     )
 
 
-def first(entries: list[Ranked]) -> Ranked | None:
+def first_to_build(entries: list[RankedQuantity]) -> RankedQuantity | None:
     """What is built first: the greatest over its budget that the program can carry."""
-    return next((entry for entry in over(entries) if entry.carrier is Carrier.PROGRAM), None)
+    return next((entry for entry in over_budget(entries) if entry.remedy is Remedy.THIS_PROGRAM), None)
 
 
-def over(entries: list[Ranked]) -> list[Ranked]:
+def over_budget(entries: list[RankedQuantity]) -> list[RankedQuantity]:
     """The entries that are over their budgets."""
     return [entry for entry in entries if (entry.multiple.value or 0.0) > 1.0]
 
 
-def _fleet(inputs: Inputs) -> list[Ranked]:
+def _fleet(inputs: Inputs) -> list[RankedQuantity]:
     zone = reconnecting.zone_loss(inputs)
     spread = assumed(inputs.targets.assumed.return_within_s.value, "s")
     herd = reconnecting.herd_rate(zone)
     rate = reconnecting.admission_rate(inputs, reconnecting.connection_cost(inputs))
-    within = inputs.in_force_within
+    within = inputs.change_deadline
     return [
-        Ranked(
+        RankedQuantity(
             "largest topic written by one process alone",
-            delivery.alone(inputs),
+            delivery.single_process_time(inputs),
             delivery.within(inputs),
-            Carrier.PROTOCOL,
+            Remedy.NEW_PROTOCOL,
             "a tree needs a protocol for topics; what a topic is to a balancer is asked first",
         ),
-        Ranked(
+        RankedQuantity(
             "all shards in a balancer, each held as a server is today",
-            shards.as_servers(inputs),
+            shards.memory_as_servers(inputs),
             inputs.memory_budget,
-            Carrier.ANOTHER,
+            Remedy.OTHER_SYSTEM,
             "nothing holds shards today; avoided by hashing to slots, which a store of another system holds",
         ),
-        Ranked(
+        RankedQuantity(
             "one change at the last process, where each of a balancer's asks the list service directly",
             lists.direct_time_by_process(inputs),
             within,
-            Carrier.PROGRAM,
+            Remedy.THIS_PROGRAM,
             "relays fan it out by the same protocol; one on each balancer's machine is one more tier",
         ),
-        Ranked(
+        RankedQuantity(
             "one change at the last balancer, list service asked directly, by arithmetic",
             lists.direct_time(inputs),
             within,
-            Carrier.PROGRAM,
+            Remedy.THIS_PROGRAM,
             "relays fan it out by the same protocol",
         ),
-        Ranked(
+        RankedQuantity(
             "one change at the last balancer, list service asked directly, as measured",
-            lists.measured_told(inputs, "last"),
+            lists.measured_notification_time(inputs, "last"),
             within,
-            Carrier.PROGRAM,
+            Remedy.THIS_PROGRAM,
             "relays, as by arithmetic",
         ),
-        Ranked(
+        RankedQuantity(
             "calls at the list service when nothing changes, directly",
             lists.idle_calls(inputs),
-            inputs.list_rate,
-            Carrier.PROGRAM,
+            inputs.list_service_rate,
+            Remedy.THIS_PROGRAM,
             "relays: calls at the source grow with them, not with balancers",
         ),
-        Ranked(
+        RankedQuantity(
             "a list at the last balancer after all watches were reset",
             lists.reset_time(inputs),
             within,
-            Carrier.PROGRAM,
+            Remedy.THIS_PROGRAM,
             "relays, which keep the list and a log of changes, and admit whole lists in turns",
         ),
-        Ranked(
+        RankedQuantity(
             "answers of the list service in the mean of a day, each change to each balancer by itself",
             configuration.direct_answers(inputs),
-            inputs.list_rate,
-            Carrier.PROGRAM,
+            inputs.list_service_rate,
+            Remedy.THIS_PROGRAM,
             "relays, and coalescing",
         ),
-        Ranked(
+        RankedQuantity(
             "a lost zone's clients, all back within a second, without cryptography",
             herd,
             rate,
-            Carrier.ANOTHER,
+            Remedy.OTHER_SYSTEM,
             "jitter is the clients'; admission by the balancer's processor time would be the program's",
         ),
-        Ranked(
+        RankedQuantity(
             "a lost zone's clients, back as fast as processors allow, with cryptography",
-            zone.encrypted,
+            zone.encrypted_time,
             spread,
-            Carrier.PROCESSES,
+            Remedy.MORE_PROCESSES,
             "scales with processes; cryptography is not wanted now",
         ),
     ]
 
 
-def _balancer(inputs: Inputs) -> list[Ranked]:
+def _balancer(inputs: Inputs) -> list[RankedQuantity]:
     many = inputs.server_counts[-1]
     mean = inputs.changes_per_s.value or 0.0
     return [
-        Ranked(
+        RankedQuantity(
             "deliveries of a balancer in one process",
-            inputs.data_cores,
-            inputs.process_cores,
-            Carrier.PROCESSES,
+            inputs.delivery_cores,
+            inputs.process_core_budget,
+            Remedy.MORE_PROCESSES,
             "scales with processes, each a balancer of its own today",
         ),
-        Ranked(
+        RankedQuantity(
             f"memory of control in all of a balancer's processes, {many:,} servers",
-            balancer.memory_of_all(inputs, many),
+            balancer.memory_all_processes(inputs, many),
             inputs.memory_budget,
-            Carrier.SHAPE,
+            Remedy.NEW_ARCHITECTURE,
             "control in one process beside those of the data path; most of it is the interpreter's",
         ),
-        Ranked(
+        RankedQuantity(
             "processor time of all of a balancer's processes, connections at rest",
-            balancer.rest_of_all(inputs),
+            balancer.idle_core_pct_all_processes(inputs),
             inputs.core_budget,
-            Carrier.PROGRAM,
+            Remedy.THIS_PROGRAM,
             "what looks at each connection in turn could wait for the one that is due",
         ),
-        Ranked(
+        RankedQuantity(
             f"largest burst change by change, {many:,} servers, until it is taken",
             balancer.burst_time(inputs, many),
-            inputs.in_force_within,
-            Carrier.PROGRAM,
+            inputs.change_deadline,
+            Remedy.THIS_PROGRAM,
             "coalescing, which comes with relays, makes one call of the module out of many changes",
         ),
-        Ranked(
+        RankedQuantity(
             f"largest burst change by change, {many:,} servers, of a core over the budget's window",
             configuration.burst_core(inputs, many),
             inputs.core_budget,
-            Carrier.PROGRAM,
+            Remedy.THIS_PROGRAM,
             "coalescing",
         ),
-        Ranked(
+        RankedQuantity(
             "bytes of the largest burst at a balancer, over the budget's window",
             configuration.burst_bytes(inputs),
             inputs.bytes_budget,
-            Carrier.PROGRAM,
+            Remedy.THIS_PROGRAM,
             "none needed",
         ),
-        Ranked(
+        RankedQuantity(
             f"memory of control in one process, {many:,} servers",
             balancer.control_memory(inputs, many),
             inputs.memory_budget,
-            Carrier.PROGRAM,
+            Remedy.THIS_PROGRAM,
             "subsetting would bound what grows with servers",
         ),
-        Ranked(
+        RankedQuantity(
             f"processor time of control in one process, {many:,} servers, told mean of changes",
-            balancer.control_core(inputs, many, mean),
+            balancer.control_core_pct(inputs, many, mean),
             inputs.core_budget,
-            Carrier.PROGRAM,
+            Remedy.THIS_PROGRAM,
             "subsetting would bound it",
         ),
-        Ranked(
+        RankedQuantity(
             f"bytes of control, {many:,} servers, told mean of changes",
             balancer.control_bytes(inputs, many, mean),
             inputs.bytes_budget,
-            Carrier.PROGRAM,
+            Remedy.THIS_PROGRAM,
             "none needed",
         ),
     ]
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -8,7 +8,7 @@
 from benchmarks.capacity.quantity import Quantity, multiple
 
 
-class Kind(enum.Enum):
+class QuantityKind(enum.Enum):
     """What a quantity tells of its role."""
 
     STATE = "state"
@@ -23,27 +23,27 @@
 class Status(enum.Enum):
     """Whether a mechanism exists in this program."""
 
-    RUNS = "runs here"
-    BEGUN = "is begun"
+    IMPLEMENTED = "runs here"
+    PARTIAL = "is begun"
     MISSING = "is missing"
-    ELSEWHERE = "belongs to another system"
+    EXTERNAL = "belongs to another system"
 
 
-class Carrier(enum.Enum):
+class Remedy(enum.Enum):
     """By what a quantity over its budget can be brought under it."""
 
-    PROGRAM = "this program, by the protocol it has"
-    PROCESSES = "more processes of it"
-    SHAPE = "another shape of the program"
-    PROTOCOL = "not without a new protocol"
-    ANOTHER = "another system"
+    THIS_PROGRAM = "this program, by the protocol it has"
+    MORE_PROCESSES = "more processes of it"
+    NEW_ARCHITECTURE = "another shape of the program"
+    NEW_PROTOCOL = "not without a new protocol"
+    OTHER_SYSTEM = "another system"
 
 
 @dataclass(frozen=True)
 class Row:
     """One quantity of a role, beside its budget where there is one."""
 
-    kind: Kind
+    kind: QuantityKind
     name: str
     quantity: Quantity
     budget: Quantity | None = None
@@ -70,19 +70,19 @@
 
     key: str  # for example `lists`
     title: str
-    whose: str  # the sentence that says what the quantities are of
+    scope: str  # the sentence that says what the quantities are of
     rows: tuple[Row, ...]
     mechanisms: tuple[Mechanism, ...]
 
 
 @dataclass(frozen=True)
-class Ranked:
+class RankedQuantity:
     """One quantity by today's mechanism, for the order in which missing ones are built."""
 
     name: str
     quantity: Quantity
     budget: Quantity
-    carrier: Carrier
+    remedy: Remedy
     verdict: str
 
     @property
--- a/benchmarks/capacity/shards.py
+++ b/benchmarks/capacity/shards.py
@@ -6,41 +6,41 @@
 
 from benchmarks.capacity.balancer import control_memory
 from benchmarks.capacity.inputs import DAY_S, PERCENT, Inputs
-from benchmarks.capacity.lists import call_time
-from benchmarks.capacity.quantity import Quantity, assumed, derived, told, total
-from benchmarks.capacity.roles import Kind, Mechanism, Role, Row, Status
+from benchmarks.capacity.lists import call_cpu_time
+from benchmarks.capacity.quantity import Quantity, assumed, derived, specified, total
+from benchmarks.capacity.roles import Mechanism, QuantityKind, Role, Row, Status
 
-REPLICAS = told(3.0, "replicas")
-SERVER_INDEX = told(2.0, "B")  # a slot's server as a number below 65,536
-SLOT_CHANGE = told(8.0, "B")  # slot, server and version
+REPLICAS = specified(3.0, "replicas")
+SERVER_INDEX = specified(2.0, "B")  # a slot's server as a number below 65,536
+SLOT_CHANGE = specified(8.0, "B")  # slot, server and version
 
 
-def entries(inputs: Inputs) -> Quantity:
+def table_bytes(inputs: Inputs) -> Quantity:
     """All shards as compact entries."""
     return derived("B", lambda count, size: count * size, shards(inputs), inputs.assumed("shard_entry_bytes"))
 
 
 def shards(inputs: Inputs) -> Quantity:
-    return told(inputs.targets.fleet.shards, "shards")
+    return specified(inputs.targets.fleet.shards, "shards")
 
 
-def as_servers(inputs: Inputs) -> Quantity:
+def memory_as_servers(inputs: Inputs) -> Quantity:
     """A process that holds all shards as it holds servers today."""
     return control_memory(inputs, inputs.targets.fleet.shards)
 
 
-def machine_changes(inputs: Inputs) -> Quantity:
+def machine_changes_per_s(inputs: Inputs) -> Quantity:
     """Machines that fail, restart or are replaced, a second."""
     failures = inputs.targets.failures
-    return told((failures.machines_per_day + failures.restarts_per_day) / DAY_S, "/s")
+    return specified((failures.machines_per_day + failures.restarts_per_day) / DAY_S, "/s")
 
 
-def moves(inputs: Inputs, servers: int) -> Quantity:
+def shard_moves(inputs: Inputs, servers: int) -> Quantity:
     """Shards a second that get another owner, if each such machine is a server and gives its shards away."""
     each = derived(
         "shards", lambda count, owners: count / owners, shards(inputs), assumed(servers, "servers")
     )
-    return derived("/s", lambda rate, count: rate * count, machine_changes(inputs), each)
+    return derived("/s", lambda rate, count: rate * count, machine_changes_per_s(inputs), each)
 
 
 def zone_moves(inputs: Inputs) -> Quantity:
@@ -50,7 +50,7 @@
         lambda count, zones, within: count / zones / within,
         shards(inputs),
         inputs.zones,
-        inputs.in_force_within,
+        inputs.change_deadline,
     )
 
 
@@ -60,59 +60,59 @@
 
 
 @dataclass(frozen=True)
-class Way:
+class LookupOption:
     """One way in which a balancer learns who serves a shard."""
 
     name: str
     state: Quantity  # of a balancer
-    mean: Quantity  # bytes a second of a balancer
-    zone: Quantity  # seconds of the whole budget of bytes that a lost zone's news takes
+    mean_rate: Quantity  # bytes a second of a balancer
+    zone_loss_time: Quantity  # seconds of the whole budget of bytes that a lost zone's news takes
     age: str
     verdict: str
 
 
-def ways(inputs: Inputs) -> list[Way]:
+def lookup_options(inputs: Inputs) -> list[LookupOption]:
     """The ways weighed, with the fewest servers, which is the worst case for moves."""
     few = inputs.server_counts[0]
     change = inputs.assumed("shard_entry_bytes")
     return [
-        Way(
+        LookupOption(
             "the whole table by a watch",
-            entries(inputs),
-            bytes_of(moves(inputs, few), change),
-            in_budget(inputs, zone_news(inputs, shards(inputs), change)),
+            table_bytes(inputs),
+            byte_rate(shard_moves(inputs, few), change),
+            time_in_budget(inputs, zone_change_bytes(inputs, shards(inputs), change)),
             "as the list",
             "does not fit",
         ),
-        Way(
+        LookupOption(
             "lookup on demand, entries cached under leases that are renewed",
             inputs.assumed("shard_cache_mb"),
             renewals(inputs),
-            in_budget(inputs, told(0.0, "B")),
+            time_in_budget(inputs, specified(0.0, "B")),
             "a lease",
             "renewing costs more than all else: renew at use only",
         ),
-        Way(
+        LookupOption(
             "lookup on demand, entries cached under leases, asked anew at use only",
             inputs.assumed("shard_cache_mb"),
-            bytes_of(inputs.assumed("shards_asked_per_s"), lookup_bytes(inputs)),
-            in_budget(inputs, told(0.0, "B")),
+            byte_rate(inputs.assumed("shards_asked_per_s"), lookup_bytes(inputs)),
+            time_in_budget(inputs, specified(0.0, "B")),
             "a lease; a wrong owner redirects",
             "for keys that no hash places; its rate has to be bounded",
         ),
-        Way(
+        LookupOption(
             "consistent hashing of shards onto servers, no table",
-            told(0.0, "B"),
-            told(0.0, "B/s"),
-            in_budget(inputs, told(0.0, "B")),
+            specified(0.0, "B"),
+            specified(0.0, "B/s"),
+            time_in_budget(inputs, specified(0.0, "B")),
             "as the server list",
             "fits, but no shard can be moved off a hot server",
         ),
-        Way(
+        LookupOption(
             "shards hashed to slots, slots assigned to servers, a table of exceptions",
             total(slot_table(inputs), exceptions(inputs)),
-            bytes_of(slot_moves(inputs, few), SLOT_CHANGE),
-            in_budget(inputs, zone_news(inputs, inputs.assumed("shard_slots"), SLOT_CHANGE)),
+            byte_rate(slot_moves(inputs, few), SLOT_CHANGE),
+            time_in_budget(inputs, zone_change_bytes(inputs, inputs.assumed("shard_slots"), SLOT_CHANGE)),
             "as the server list",
             "fits; taken for the plan, with lookups for what is neither",
         ),
@@ -126,7 +126,7 @@
 def exceptions(inputs: Inputs) -> Quantity:
     """The shards that stand elsewhere than their hash says."""
     return derived(
-        "B", lambda part, whole: whole * part / PERCENT, inputs.assumed("exceptions_pct"), entries(inputs)
+        "B", lambda part, whole: whole * part / PERCENT, inputs.assumed("exceptions_pct"), table_bytes(inputs)
     )
 
 
@@ -134,7 +134,7 @@
     return derived(
         "/s",
         lambda rate, slots: rate * slots / servers,
-        machine_changes(inputs),
+        machine_changes_per_s(inputs),
         inputs.assumed("shard_slots"),
     )
 
@@ -151,16 +151,16 @@
     )
 
 
-def bytes_of(rate: Quantity, size: Quantity) -> Quantity:
+def byte_rate(rate: Quantity, size: Quantity) -> Quantity:
     return derived("B/s", lambda often, each: often * each, rate, size)
 
 
-def zone_news(inputs: Inputs, count: Quantity, size: Quantity) -> Quantity:
+def zone_change_bytes(inputs: Inputs, count: Quantity, size: Quantity) -> Quantity:
     """Bytes that tell a balancer the new owners of what a lost zone had."""
     return derived("B", lambda all_, zones, each: all_ / zones * each, count, inputs.zones, size)
 
 
-def in_budget(inputs: Inputs, size: Quantity) -> Quantity:
+def time_in_budget(inputs: Inputs, size: Quantity) -> Quantity:
     """How long a balancer's whole budget of bytes takes for it."""
     return derived("s", lambda news, rate: news / rate, size, inputs.bytes_budget)
 
@@ -172,13 +172,13 @@
         "/s", lambda rate, count: rate * count, inputs.assumed("shards_asked_per_s"), inputs.balancers
     )
     share = inputs.per_control_machine(
-        derived("B", lambda size, replicas: size * replicas, entries(inputs), REPLICAS)
+        derived("B", lambda size, replicas: size * replicas, table_bytes(inputs), REPLICAS)
     )
     lookup_core = derived(
         "cores",
         lambda rate, cost: rate * cost,
         inputs.per_control_machine(lookups),
-        call_time(inputs, inputs.targets.fleet.balancers),
+        call_cpu_time(inputs, inputs.targets.fleet.balancers),
     )
     return Role(
         "shards",
@@ -186,43 +186,43 @@
         "Each quantity says whose it is.",
         (
             Row(
-                Kind.STATE,
+                QuantityKind.STATE,
                 "all shards as entries, beside a balancer's memory",
-                entries(inputs),
+                table_bytes(inputs),
                 inputs.memory_budget,
             ),
             Row(
-                Kind.MEMORY,
+                QuantityKind.MEMORY,
                 "all shards in a balancer as it holds servers today",
-                as_servers(inputs),
+                memory_as_servers(inputs),
                 inputs.memory_budget,
             ),
             Row(
-                Kind.MEMORY,
+                QuantityKind.MEMORY,
                 f"a control machine's part, {REPLICAS.value:.0f} replicas",
                 share,
                 inputs.assumed("machine_memory_gb"),
             ),
-            Row(Kind.MESSAGES, f"moved shards, {few:,} servers", moves(inputs, few)),
-            Row(Kind.MESSAGES, f"moved shards, {many:,} servers", moves(inputs, many)),
-            Row(Kind.MESSAGES, "lookups, all balancers", lookups),
-            Row(Kind.PEAK, "shards of a lost zone, within the told time", zone_moves(inputs)),
+            Row(QuantityKind.MESSAGES, f"moved shards, {few:,} servers", shard_moves(inputs, few)),
+            Row(QuantityKind.MESSAGES, f"moved shards, {many:,} servers", shard_moves(inputs, many)),
+            Row(QuantityKind.MESSAGES, "lookups, all balancers", lookups),
+            Row(QuantityKind.PEAK, "shards of a lost zone, within the told time", zone_moves(inputs)),
             Row(
-                Kind.BYTES,
+                QuantityKind.BYTES,
                 "lookups of a balancer",
-                bytes_of(inputs.assumed("shards_asked_per_s"), lookup_bytes(inputs)),
+                byte_rate(inputs.assumed("shards_asked_per_s"), lookup_bytes(inputs)),
                 inputs.bytes_budget,
             ),
             Row(
-                Kind.PROCESSOR,
+                QuantityKind.PROCESSOR,
                 "lookups on a control machine, each as one call of the list service",
                 lookup_core,
-                inputs.assumed_cores,
+                inputs.cores_per_machine,
             ),
         ),
         (
             Mechanism(
-                "replicated store with watches, by consensus", Status.ELSEWHERE, "an existing engine's work"
+                "replicated store with watches, by consensus", Status.EXTERNAL, "an existing engine's work"
             ),
             Mechanism(
                 "consistent hashing with a table of exceptions",
@@ -234,18 +234,18 @@
             ),
             Mechanism(
                 "shuffle sharding of groups onto servers",
-                Status.RUNS,
+                Status.IMPLEMENTED,
                 "a shuffle by group, the same at every balancer",
             ),
         ),
     )
 
 
-def shard_figures(inputs: Inputs) -> dict[str, Quantity]:
+def shard_quantities(inputs: Inputs) -> dict[str, Quantity]:
     """What the chapter on shards quotes."""
     return {
-        "shards.entries": entries(inputs),
-        "shards.as_servers": as_servers(inputs),
+        "shards.entries": table_bytes(inputs),
+        "shards.as_servers": memory_as_servers(inputs),
         "shards.budget": inputs.memory_budget,
         "shards.slots": slot_table(inputs),
         "shards.exceptions": exceptions(inputs),
--- a/benchmarks/capacity/targets.py
+++ b/benchmarks/capacity/targets.py
@@ -17,7 +17,7 @@
 Positive = Annotated[float, msgspec.Meta(gt=0.0)]
 Count = Annotated[int, msgspec.Meta(ge=1)]
 Percent = Annotated[float, msgspec.Meta(gt=0.0, le=100.0)]
-Part = Annotated[float, msgspec.Meta(gt=0.0, lt=1.0)]
+Fraction = Annotated[float, msgspec.Meta(gt=0.0, lt=1.0)]
 
 
 class Fleet(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -29,7 +29,7 @@
     largest_topic_listeners: Count
     deliveries_per_s: Positive
     delivery_within_ms: Positive
-    delivery_part: Part  # of the deliveries, within that time
+    delivery_part: Fraction  # of the deliveries, within that time
     regions: Count
     zones: Count
 
@@ -42,7 +42,7 @@
     bursts: Annotated[list[Count], msgspec.Meta(min_length=1)]  # changes that come together
 
 
-class DescriptorBudget(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ControlBudget(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What control may cost: a balancer's part, and the machines set aside for it."""
 
     core_pct: Positive  # of one core
@@ -97,7 +97,7 @@
     shard_slots: Assumption
     exceptions_pct: Assumption
 
-    def single(self) -> dict[str, Assumption]:
+    def single_values(self) -> dict[str, Assumption]:
         """All but the numbers of servers, by name, in their order."""
         fields = {name: getattr(self, name) for name in self.__struct_fields__}
         return {name: value for name, value in fields.items() if isinstance(value, Assumption)}
@@ -105,7 +105,7 @@
     def quantity(self, name: str) -> Quantity:
         """An assumption in the page's units."""
         unit, scale = unit_of(name)
-        return assumed(self.single()[name].value * scale, unit)
+        return assumed(self.single_values()[name].value * scale, unit)
 
 
 class Targets(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -113,7 +113,7 @@
 
     fleet: Fleet
     changes: Changes
-    budget: DescriptorBudget
+    budget: ControlBudget
     failures: Failures
     assumed: Assumptions
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -16,14 +16,14 @@
 from hypothesis import strategies as st
 
 from benchmarks.capacity.__main__ import PAGE, compute, main
-from benchmarks.capacity.delivery import quantile
+from benchmarks.capacity.delivery import queueing_quantile
 from benchmarks.capacity.inputs import Inputs
-from benchmarks.capacity.lists import RELAYS
+from benchmarks.capacity.lists import RELAY_MECHANISM
 from benchmarks.capacity.measurements import SERIES, Measurements
-from benchmarks.capacity.model import Capacity, capacity
+from benchmarks.capacity.model import Capacity, compute_capacity
 from benchmarks.capacity.page import render
-from benchmarks.capacity.quantity import Basis, Quantity, assumed, derived, multiple, scaled, told
-from benchmarks.capacity.roles import Carrier, Kind, Status
+from benchmarks.capacity.quantity import Basis, Quantity, assumed, derived, format_value, multiple, specified
+from benchmarks.capacity.roles import QuantityKind, Remedy, Status
 from benchmarks.capacity.targets import TARGETS, Fleet, Targets, parse_targets, read_targets
 from benchmarks.scale.records import (
     RUNS,
@@ -78,7 +78,7 @@
     return SlopeResults(SCHEMA, [MEASURED], points, fits)
 
 
-def told_within(seconds: float) -> Told:
+def notified_within(seconds: float) -> Told:
     return Told(7_500, 1, seconds, seconds, seconds, 0)
 
 
@@ -86,7 +86,7 @@
     """A made-up run."""
     return ScaleRun(
         "made-up", MEASURED, 7_500, 24, 20, relays, 1_000, 1, 60.0, held, 10.0, 1, 2.0, 3.0, 4.0, 5.0,
-        told_within(0.75), told_within(0.85), 0.25, 350.0, 0.1, 200.0, 0.2, 33.0,
+        notified_within(0.75), notified_within(0.85), 0.25, 350.0, 0.1, 200.0, 0.2, 33.0,
     )  # fmt: skip
 
 
@@ -98,7 +98,7 @@
 
 
 def full(targets: Targets | None = None, results: SlopeResults | None = None) -> Capacity:
-    return capacity(targets or read_targets(TARGETS), results or made_up(), None)
+    return compute_capacity(targets or read_targets(TARGETS), results or made_up(), None)
 
 
 # The page
@@ -120,7 +120,7 @@
 
 
 def test_a_page_without_results_says_not_measured_and_names_every_series() -> None:
-    empty = capacity(read_targets(TARGETS), None, None)
+    empty = compute_capacity(read_targets(TARGETS), None, None)
     page = render(empty)
     assert {one.split(" by ")[0] for one in empty.missing} == set(SERIES)
     assert all(series in page for series in SERIES)
@@ -152,31 +152,31 @@
 def test_each_role_tells_state_messages_processor_time_and_memory() -> None:
     for role in full().roles:
         assert {row.kind for row in role.rows} >= {
-            Kind.STATE,
-            Kind.MESSAGES,
-            Kind.PEAK,
-            Kind.PROCESSOR,
-            Kind.MEMORY,
+            QuantityKind.STATE,
+            QuantityKind.MESSAGES,
+            QuantityKind.PEAK,
+            QuantityKind.PROCESSOR,
+            QuantityKind.MEMORY,
         }
         assert {mechanism.status for mechanism in role.mechanisms} <= set(Status)
 
 
 def test_runs_stand_on_the_page_and_tell_whether_relays_run_here() -> None:
     targets = read_targets(TARGETS)
-    for relays, held, status in ((0, True, None), (6, False, None), (6, True, Status.RUNS)):
-        shown = capacity(targets, made_up(), RunResults(SCHEMA, [run(relays, held)]))
-        found = {one.term: one.status for role in shown.roles for one in role.mechanisms}[RELAYS]
-        assert (found is Status.RUNS) == (status is Status.RUNS)
+    for relays, held, status in ((0, True, None), (6, False, None), (6, True, Status.IMPLEMENTED)):
+        shown = compute_capacity(targets, made_up(), RunResults(SCHEMA, [run(relays, held)]))
+        found = {one.term: one.status for role in shown.roles for one in role.mechanisms}[RELAY_MECHANISM]
+        assert (found is Status.IMPLEMENTED) == (status is Status.IMPLEMENTED)
         page = render(shown)
         assert f"| made-up | {relays} | 7,500 | 20 | 24 | 1,000 | 10 ms | 0.75 s |" in page
         assert f"| 0.85 s | yes | {'yes' if held else '**no**'} |" in page
 
 
 def test_a_run_that_was_late_or_missed_somebody_says_no() -> None:
-    late, missed = told_within(3.1), Told(7_500, 1, 0.1, 0.1, 0.1, 1)
+    late, missed = notified_within(3.1), Told(7_500, 1, 0.1, 0.1, 0.1, 1)
     for found in (late, missed):
         other = msgspec.structs.replace(run(6), told_real=found)
-        page = render(capacity(read_targets(TARGETS), None, RunResults(SCHEMA, [other])))
+        page = render(compute_capacity(read_targets(TARGETS), None, RunResults(SCHEMA, [other])))
         assert f"| {found.last_s:g} s | **no** | yes |" in page
 
 
@@ -302,7 +302,7 @@
 
 def test_a_cost_for_each_stays_as_measured_beyond_the_range_and_says_so() -> None:
     points = [Point("data.line_us", "us", {"lines_per_s": size}, [60.0]) for size in (100.0, 2_000.0)]
-    found = Measurements(SlopeResults(SCHEMA, [], points, [])).each("data.line_us", 18_667.0)
+    found = Measurements(SlopeResults(SCHEMA, [], points, [])).unit_cost("data.line_us", 18_667.0)
     assert str(found) == "60 us (x: lines_per_s 100 to 2,000)"
 
 
@@ -316,10 +316,10 @@
 def test_a_greater_fleet_asks_no_less(
     connections: float, shards: float, listeners: float, changes: float
 ) -> None:
-    told_ = read_targets(TARGETS)
-    fleet, daily = told_.fleet, told_.changes
+    targets = read_targets(TARGETS)
+    fleet, daily = targets.fleet, targets.changes
     grown = msgspec.structs.replace(
-        told_,
+        targets,
         fleet=msgspec.structs.replace(
             fleet,
             connections=int(fleet.connections * connections),
@@ -328,7 +328,7 @@
         ),
         changes=msgspec.structs.replace(daily, per_day=daily.per_day * changes),
     )
-    small, great = full(told_), full(grown)
+    small, great = full(targets), full(grown)
     for before, after in zip(small.roles, great.roles, strict=True):
         for one, other in zip(before.rows, after.rows, strict=True):
             assert one.quantity.value is not None and other.quantity.value is not None
@@ -340,11 +340,11 @@
 @settings(max_examples=30, deadline=None)
 @given(FACTOR)
 def test_more_balancers_ask_the_list_service_more(factor: float) -> None:
-    told_ = read_targets(TARGETS)
-    fleet = msgspec.structs.replace(told_.fleet, balancers=int(told_.fleet.balancers * factor))
-    small, great = full(told_), full(msgspec.structs.replace(told_, fleet=fleet))
+    targets = read_targets(TARGETS)
+    fleet = msgspec.structs.replace(targets.fleet, balancers=int(targets.fleet.balancers * factor))
+    small, great = full(targets), full(msgspec.structs.replace(targets, fleet=fleet))
     for name in ("lists.idle_calls", "lists.direct_time", "lists.whole_all", "configuration.direct"):
-        assert (great.figures[name].value or 0.0) >= (small.figures[name].value or 0.0)
+        assert (great.named_quantities[name].value or 0.0) >= (small.named_quantities[name].value or 0.0)
 
 
 @settings(max_examples=25, deadline=None)
@@ -353,7 +353,7 @@
     def count(least: int, most: int) -> int:
         return data.draw(st.integers(least, most))
 
-    told_ = read_targets(TARGETS)
+    targets = read_targets(TARGETS)
     regions = count(2, 12)
     zones = count(regions, 60)
     connections = count(1, 10**10)
@@ -368,8 +368,8 @@
         regions=regions,
         zones=zones,
     )
-    budget = msgspec.structs.replace(told_.budget, machines=count(1, 200))
-    page = render(full(msgspec.structs.replace(told_, fleet=fleet, budget=budget)))
+    budget = msgspec.structs.replace(targets.budget, machines=count(1, 200))
+    page = render(full(msgspec.structs.replace(targets, fleet=fleet, budget=budget)))
     assert "nan" not in page and "None" not in page and "inf " not in page
 
 
@@ -382,7 +382,7 @@
         found = multiple(quantity, budget).value
         assert found is not None and found * (budget.value or 0.0) == pytest.approx(quantity.value)
     with pytest.raises(ValueError, match="different units"):
-        multiple(told(1.0, "s"), told(1.0, "B"))
+        multiple(specified(1.0, "s"), specified(1.0, "B"))
 
 
 @given(st.lists(st.sampled_from(Basis), min_size=1))
@@ -393,9 +393,9 @@
 
 def test_the_letter_by_arithmetic() -> None:
     """The operators' own figures: 1,875 calls a second idle, 75 s a change, 60,000 and 18,700 a balancer."""
-    figures = full().figures
+    named_quantities = full().named_quantities
     shown = [
-        figures[name].amount
+        named_quantities[name].amount
         for name in ("lists.idle_calls", "lists.direct_time", "data.connections_each", "data.deliveries_each")
     ]
     assert shown == ["1,875/s", "75 s", "60,000 connections", "18,667/s"]
@@ -406,19 +406,19 @@
     inputs = Inputs(computed.targets, Measurements(made_up()))
     inside = [hop for hop in computed.hops if hop.name.startswith("inside a zone")]
     reached = inside[-1].nodes.value or 0.0
-    processes = (inputs.processes_each.value or 0.0) * computed.targets.fleet.balancers
+    processes = (inputs.processes_per_balancer.value or 0.0) * computed.targets.fleet.balancers
     assert reached >= processes
-    parts = [part.value or 0.0 for hop in computed.hops for part in (hop.sending, hop.way)]
-    queue = computed.figures["delivery.queue"].value or 0.0
-    assert computed.figures["delivery.tree"].value == pytest.approx(sum(parts) + queue)
-    single = [hop.queue.value or 0.0 for hop in computed.hops]
+    parts = [part.value or 0.0 for hop in computed.hops for part in (hop.sending, hop.latency)]
+    queue = computed.named_quantities["delivery.queue"].value or 0.0
+    assert computed.named_quantities["delivery.tree"].value == pytest.approx(sum(parts) + queue)
+    single = [hop.queueing_time.value or 0.0 for hop in computed.hops]
     assert max(single) < queue < sum(single)
 
 
 @pytest.mark.parametrize(("part", "used", "hops", "waits"), [(0.99, 0.6, 1, 4.094), (0.99, 1.0, 2, 6.638)])
 def test_queues_by_known_quantiles(part: float, used: float, hops: int, waits: float) -> None:
     """One M/M/1 queue: ln(0.6 / 0.01); two that always wait: half of chi squared with 4 degrees, 13.277."""
-    assert quantile(part, used, hops) == pytest.approx(waits, abs=0.001)
+    assert queueing_quantile(part, used, hops) == pytest.approx(waits, abs=0.001)
 
 
 def test_ranking_puts_first_what_the_program_can_carry() -> None:
@@ -427,9 +427,11 @@
         multiples = [entry.multiple.value for entry in computed.ranking]
         known = [one for one in multiples if one is not None]
         assert known == sorted(known, reverse=True) and multiples[: len(known)] == known
-        built = computed.first
-        assert built is not None and built.carrier is Carrier.PROGRAM and (built.multiple.value or 0.0) > 1.0
-        assert all(entry.carrier is not Carrier.PROGRAM for entry in computed.above_first)
+        built = computed.first_to_build
+        assert (
+            built is not None and built.remedy is Remedy.THIS_PROGRAM and (built.multiple.value or 0.0) > 1.0
+        )
+        assert all(entry.remedy is not Remedy.THIS_PROGRAM for entry in computed.ranked_above_first)
 
 
 @pytest.mark.parametrize(
@@ -450,5 +452,5 @@
     ],
 )
 def test_values_are_shown_in_units_that_suit_them(value: float, unit: str, shown: str) -> None:
-    assert scaled(value, unit) == shown
+    assert format_value(value, unit) == shown
     assert str(assumed(value, unit)) == f"{shown} (a)"
