--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""docs/CAPACITY.md, computed from committed results and a fleet's targets (`make capacity`)."""
+"""Capacity planning: computes docs/CAPACITY.md from committed results and a fleet's targets."""
--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -1,7 +1,7 @@
-"""`make capacity`: computes docs/CAPACITY.md from the committed results and a fleet's targets.
+"""Command of `make capacity`: writes docs/CAPACITY.md from the committed results and a fleet's targets.
 
-What has not been measured is printed, and called so on the page. Bad targets or results are named by place
-and value, with exit code 2.
+Prints every series that has not been measured. Invalid targets or results are reported with their place and
+value, and the command exits with code 2.
 
 python -m benchmarks.capacity [--targets FILE --slopes FILE --runs FILE --page FILE]
 """
@@ -19,13 +19,13 @@
 from benchmarks.scale.records import RUNS, SLOPES, BadRecord, RunResults, SlopeResults, read
 
 PAGE = Path(__file__).parents[2] / "docs" / "CAPACITY.md"
-BAD_INPUT = 2  # exit code
+EXIT_BAD_INPUT = 2
 
 
 def compute(targets: Path, slopes: Path, runs: Path) -> Capacity:
-    """The capacity by these files; a committed results file that is not there yet counts as nothing measured.
+    """Compute the capacity from these files. A missing committed results file means nothing was measured.
 
-    Raises BadRecord where a file cannot be used, or another than the committed one is missing.
+    Raises BadRecord if a file is invalid, or if a file other than the committed ones is missing.
     """
     return compute_capacity(
         read_targets(targets),
@@ -39,26 +39,26 @@
 @click.option(
     "--slopes", type=click.Path(path_type=Path), default=SLOPES, help="results of `make bench-scale`"
 )
-@click.option("--runs", type=click.Path(path_type=Path), default=RUNS, help="results of runs at size")
-@click.option("--page", type=click.Path(path_type=Path), default=PAGE, help="where the page is written")
+@click.option("--runs", type=click.Path(path_type=Path), default=RUNS, help="results of full-size runs")
+@click.option("--page", type=click.Path(path_type=Path), default=PAGE, help="page to write")
 def main(targets: Path, slopes: Path, runs: Path, page: Path) -> None:
-    """Compute the page."""
+    """Compute the page and write it."""
     try:
         computed = compute(targets, slopes, runs)
     except BadRecord as exc:
         click.echo(f"capacity: {exc}", err=True)
-        sys.exit(BAD_INPUT)
+        sys.exit(EXIT_BAD_INPUT)
     try:
         page.write_text(render(computed), encoding="utf-8")
     except OSError as exc:
         click.echo(f"capacity: {page}: {exc.strerror}", err=True)
-        sys.exit(BAD_INPUT)
+        sys.exit(EXIT_BAD_INPUT)
     for series in computed.missing:
         click.echo(f"not measured: {series}")
-    built = computed.first_to_build
+    first = computed.first_to_build
     click.echo(
         f"capacity page={page.name} not_measured={len(computed.missing)} runs={len(computed.runs)} "
-        f"first={built.multiple.value if built else 0.0:.3g}"
+        f"first={first.multiple.value if first else 0.0:.3g}"
     )
 
 
--- a/benchmarks/capacity/balancer.py
+++ b/benchmarks/capacity/balancer.py
@@ -1,4 +1,4 @@
-"""The roles of one balancer: its control, and its data path."""
+"""The two roles of a balancer: control (server list, watches, timers) and data path."""
 
 from __future__ import annotations
 
@@ -8,92 +8,92 @@
 from benchmarks.capacity.quantity import Quantity, assumed, derived
 from benchmarks.capacity.roles import Mechanism, QuantityKind, Role, Row, Status
 
-BUSY_CHANGES_PER_S = 1.0  # changes a second at which control was measured beside its rest
+BUSY_CHANGES_PER_S = 1.0  # rate of changes at which control was measured, besides none
 
 
 def control_core_pct(inputs: Inputs, servers: int, changes_per_s: float) -> Quantity:
-    """Percent of a core that control takes, without clients.
+    """Percent of a core used by control, without clients.
 
-    Where changes were measured at fewer servers, taking each one costs more by what the module then takes.
+    If changes were measured with fewer servers, adds the extra processor time per change in the module.
     """
     series = "control.core_pct"
-    longer = extra_change_time(inputs, servers, series)
+    extra_time = extra_change_time(inputs, servers, series)
     return derived(
         "%",
-        lambda known, cost: known + cost * changes_per_s * PERCENT,
+        lambda measured, cost: measured + cost * changes_per_s * PERCENT,
         control_with_changes(inputs, series, servers, changes_per_s),
-        longer,
+        extra_time,
     )
 
 
 def control_memory(inputs: Inputs, servers: int) -> Quantity:
-    """Resident memory of a process without clients."""
+    """Resident memory of a process without clients, in bytes."""
     return inputs.measurements.at("control.resident_mib", "servers", servers, changes_per_s=0.0)
 
 
 def control_bytes(inputs: Inputs, servers: int, changes_per_s: float) -> Quantity:
-    """Bytes a second that control sends and receives."""
+    """Bytes per second sent and received by control."""
     return control_with_changes(inputs, "control.bytes_per_s", servers, changes_per_s)
 
 
 def control_calls(inputs: Inputs, servers: int, changes_per_s: float) -> Quantity:
-    """Calls a second of one balancer at the list service."""
+    """Calls per second from one balancer to the list service."""
     return control_with_changes(inputs, "control.calls_per_s", servers, changes_per_s)
 
 
 def control_with_changes(inputs: Inputs, series: str, servers: int, changes_per_s: float) -> Quantity:
-    """A series of control at rest by servers, and what changes add to it where they were measured."""
-    rest = inputs.measurements.at(series, "servers", servers, changes_per_s=0.0)
+    """A series of control without changes, plus the increase measured with changes."""
+    idle = inputs.measurements.at(series, "servers", servers, changes_per_s=0.0)
     if changes_per_s == 0.0:
-        return rest
-    still, busy = (
+        return idle
+    without, with_load = (
         inputs.measurements.at(series, "changes_per_s", rate, servers=servers)
         for rate in (0.0, changes_per_s)
     )
-    return derived(rest.unit, lambda at_rest, low, high: at_rest + high - low, rest, still, busy)
+    return derived(idle.unit, lambda base, low, high: base + high - low, idle, without, with_load)
 
 
 def extra_change_time(inputs: Inputs, servers: int, series: str) -> Quantity:
-    """Processor time of one change in the module, beyond that at the servers where changes were measured."""
+    """Extra processor time per change, compared with the number of servers that changes were measured at."""
     measured_at = inputs.measurements.nearest_input(series, "changes_per_s", "servers", servers)
     return derived(
         "s",
-        lambda here, there: max(0.0, here - there),
+        lambda wanted, measured: max(0.0, wanted - measured),
         module_measurement(inputs, "one_change", servers),
         module_measurement(inputs, "one_change", int(measured_at)),
     )
 
 
 def burst_time(inputs: Inputs, servers: int) -> Quantity:
-    """Processor time of the largest burst in the decision module, each change taken by itself."""
+    """Processor time of the largest burst in the decision module, applied change by change."""
     one_change = module_measurement(inputs, "one_change", servers)
     return derived("s", lambda cost, changes: cost * changes, one_change, inputs.largest_burst)
 
 
 def control(inputs: Inputs) -> Role:
-    """Server list, watches and timers of one balancer."""
-    standing = inputs.connections_per_balancer.value or 0.0
+    """The role of control: server list, watches and timers of one balancer."""
+    connections = inputs.connections_per_balancer.value or 0.0
     rows = [row for servers in inputs.server_counts for row in _control_rows(inputs, servers)]
-    at_rest = inputs.measurements.at("control.standing_core_pct", "standing", standing)
-    standing_each = inputs.connections_per_process
-    part_at_rest = inputs.measured_at_quantity("control.standing_core_pct", "standing", standing_each)
-    timers = inputs.measurements.at("module.timers", "timers", standing)
+    idle_core = inputs.measurements.at("control.standing_core_pct", "standing", connections)
+    per_process = inputs.connections_per_process
+    idle_per_process = inputs.measured_at_quantity("control.standing_core_pct", "standing", per_process)
+    timers = inputs.measurements.at("module.timers", "timers", connections)
     by_balancers = inputs.measurements.at("module.place", "balancers", inputs.targets.fleet.balancers)
     rows += [
         Row(
             QuantityKind.PROCESSOR,
-            f"{standing:,.0f} connections at rest in one process",
-            at_rest,
+            f"{connections:,.0f} connections at rest in one process",
+            idle_core,
             inputs.core_budget,
         ),
-        Row(QuantityKind.PROCESSOR, "a process's part of them at rest", part_at_rest, inputs.core_budget),
+        Row(QuantityKind.PROCESSOR, "a process's part of them at rest", idle_per_process, inputs.core_budget),
         Row(
             QuantityKind.PROCESSOR,
             "all processes, connections at rest",
             idle_core_pct_all_processes(inputs),
             inputs.core_budget,
         ),
-        Row(QuantityKind.PROCESSOR, f"one timer of {standing:,.0f}", timers),
+        Row(QuantityKind.PROCESSOR, f"one timer of {connections:,.0f}", timers),
         Row(
             QuantityKind.PROCESSOR,
             f"placing once, {inputs.targets.fleet.balancers:,} balancers told",
@@ -125,7 +125,7 @@
 
 
 def _control_rows(inputs: Inputs, servers: int) -> list[Row]:
-    """The rows of control that depend on the number of servers."""
+    """Rows of control that depend on the number of servers."""
 
     def row(kind: QuantityKind, name: str, quantity: Quantity, budget: Quantity | None = None) -> Row:
         return Row(kind, name, quantity, budget, servers)
@@ -134,7 +134,7 @@
         return quantity(inputs, servers, BUSY_CHANGES_PER_S)
 
     mean = inputs.changes_per_s.value or 0.0
-    memory, size, core = inputs.memory_budget, inputs.bytes_budget, inputs.core_budget
+    memory, bandwidth, core = inputs.memory_budget, inputs.bytes_budget, inputs.core_budget
     return [
         row(
             QuantityKind.STATE,
@@ -144,8 +144,8 @@
         ),
         row(QuantityKind.MESSAGES, "calls, no change", control_calls(inputs, servers, 0.0)),
         row(QuantityKind.PEAK, "calls, a change a second", busy(control_calls)),
-        row(QuantityKind.BYTES, "no change", control_bytes(inputs, servers, 0.0), size),
-        row(QuantityKind.BYTES, "a change a second", busy(control_bytes), size),
+        row(QuantityKind.BYTES, "no change", control_bytes(inputs, servers, 0.0), bandwidth),
+        row(QuantityKind.BYTES, "a change a second", busy(control_bytes), bandwidth),
         row(QuantityKind.PROCESSOR, "told mean of changes", control_core_pct(inputs, servers, mean), core),
         row(QuantityKind.PROCESSOR, "a change a second", busy(control_core_pct), core),
         row(
@@ -169,47 +169,54 @@
 
 
 def memory_all_processes(inputs: Inputs, servers: int) -> Quantity:
-    """Resident memory of all processes of a balancer, without clients."""
+    """Resident memory of all processes of a balancer without clients, in bytes."""
     return derived(
-        "B", lambda one, parts: one * parts, control_memory(inputs, servers), inputs.processes_per_balancer
+        "B",
+        lambda size, processes: size * processes,
+        control_memory(inputs, servers),
+        inputs.processes_per_balancer,
     )
 
 
 def idle_core_pct_all_processes(inputs: Inputs) -> Quantity:
-    """Percent of a core that all processes of a balancer take while its connections only stand."""
-    one = inputs.measured_at_quantity("control.standing_core_pct", "standing", inputs.connections_per_process)
-    return derived("%", lambda share, parts: share * parts, one, inputs.processes_per_balancer)
+    """Percent of a core used by all processes of a balancer while its connections are idle."""
+    core_pct = inputs.measured_at_quantity(
+        "control.standing_core_pct", "standing", inputs.connections_per_process
+    )
+    return derived(
+        "%", lambda percent, processes: percent * processes, core_pct, inputs.processes_per_balancer
+    )
 
 
 def module_measurement(inputs: Inputs, series: str, servers: int) -> Quantity:
-    """A series of the decision module, by the number of servers."""
+    """A series of the decision module, by number of servers."""
     return inputs.measurements.at(f"module.{series}", "servers", servers)
 
 
 def data_path(inputs: Inputs) -> Role:
-    """Connections and delivered lines of one balancer."""
-    standing = inputs.connections_per_balancer.value or 0.0
+    """The role of the data path: connections and deliveries of one balancer."""
+    connections = inputs.connections_per_balancer.value or 0.0
     peak = derived(
         "/s",
-        lambda rate, times: rate * times,
+        lambda rate, factor: rate * factor,
         inputs.deliveries_per_balancer,
         inputs.assumed("peak_over_mean"),
     )
     peak_cores = derived("cores", lambda rate, cost: rate * cost, peak, inputs.line_cost)
-    in_module = inputs.measurements.at("module.standing_bytes", "standing", standing)
-    placing = inputs.measurements.at("module.place_own_groups", "standing", standing)
-    placing_each = inputs.measured_at_quantity(
+    module_memory = inputs.measurements.at("module.standing_bytes", "standing", connections)
+    placing = inputs.measurements.at("module.place_own_groups", "standing", connections)
+    placing_per_process = inputs.measured_at_quantity(
         "module.place_own_groups", "standing", inputs.connections_per_process
     )
     memory = connections_memory(inputs)
-    at_rest = inputs.measurements.at("control.standing_resident_mib", "standing", standing)
+    idle_memory = inputs.measurements.at("control.standing_resident_mib", "standing", connections)
     machine_memory = inputs.assumed("machine_memory_gb")
     return Role(
         "data",
         "A balancer's data path",
         "Quantities are of a balancer.",
         (
-            Row(QuantityKind.STATE, "its connections in the decision module", in_module),
+            Row(QuantityKind.STATE, "its connections in the decision module", module_memory),
             Row(QuantityKind.MESSAGES, "deliveries", inputs.deliveries_per_balancer),
             Row(QuantityKind.PEAK, "deliveries", peak),
             Row(
@@ -222,7 +229,7 @@
                 QuantityKind.PROCESSOR, "deliveries, peak, beside one core", peak_cores, assumed(1.0, "cores")
             ),
             Row(QuantityKind.PROCESSOR, "placing once in one process, a group for each connection", placing),
-            Row(QuantityKind.PROCESSOR, "placing once in each of its processes", placing_each),
+            Row(QuantityKind.PROCESSOR, "placing once in each of its processes", placing_per_process),
             Row(
                 QuantityKind.MEMORY,
                 "its connections, beside one machine",
@@ -233,7 +240,7 @@
             Row(
                 QuantityKind.MEMORY,
                 "a process with as many at rest, beside one machine",
-                at_rest,
+                idle_memory,
                 machine_memory,
             ),
         ),
@@ -259,32 +266,38 @@
 
 
 def connections_memory(inputs: Inputs) -> Quantity:
-    """Resident memory of a balancer's standing connections, in all of its processes together."""
+    """Resident memory of a balancer's connections in all of its processes, in bytes."""
     return derived(
-        "B", lambda count, each: count * each, inputs.connections_per_balancer, inputs.connection_memory
+        "B", lambda count, size: count * size, inputs.connections_per_balancer, inputs.connection_memory
     )
 
 
 def data_path_quantities(inputs: Inputs) -> dict[str, Quantity]:
-    """How many processes and machines a balancer is."""
+    """Quantities quoted in the chapter on the processes and machines of a balancer."""
     processes = inputs.processes_per_balancer
     machine_cores = inputs.assumed("machine_cores")
-    lines_rate = derived("/s", lambda most, cost: most / cost, inputs.process_core_budget, inputs.line_cost)
+    delivery_rate = derived(
+        "/s", lambda limit, cost: limit / cost, inputs.process_core_budget, inputs.line_cost
+    )
     by_cores = derived("machines", lambda count, cores: count / cores, processes, machine_cores)
     memory = connections_memory(inputs)
     by_memory = derived(
-        "machines", lambda bytes_, most: bytes_ / most, memory, inputs.assumed("machine_memory_gb")
+        "machines", lambda size, limit: size / limit, memory, inputs.assumed("machine_memory_gb")
+    )
+    all_processes = derived(
+        "processes", lambda per_balancer, count: per_balancer * count, processes, inputs.balancers
     )
-    all_processes = derived("processes", lambda each, count: each * count, processes, inputs.balancers)
     return {
         "data.processes_each": processes,
         "data.processes_all": all_processes,
-        "data.rate_of_a_process": lines_rate,
+        "data.rate_of_a_process": delivery_rate,
         "data.connections_of_a_process": inputs.connections_per_process,
         "data.machines_by_cores": by_cores,
         "data.machines_by_memory": by_memory,
         "data.memory": memory,
-        "data.memory_of_a_process": derived("B", lambda all_, parts: all_ / parts, memory, processes),
+        "data.memory_of_a_process": derived(
+            "B", lambda total_bytes, parts: total_bytes / parts, memory, processes
+        ),
         "data.control_memory_of_all": memory_all_processes(inputs, inputs.server_counts[-1]),
         "data.watchers": inputs.watches_per_process_total,
         "data.rest_of_all": idle_core_pct_all_processes(inputs),
--- a/benchmarks/capacity/configuration.py
+++ b/benchmarks/capacity/configuration.py
@@ -1,4 +1,4 @@
-"""Changes of configuration: how many, how they reach each balancer, and what they cost there."""
+"""The role of configuration: rate of changes, their distribution and their cost per balancer."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 def day_log(inputs: Inputs) -> Quantity:
-    """All changes of a day."""
+    """Size of a log of one day's changes, in bytes."""
     daily_changes = specified(inputs.targets.changes.per_day, "")
     return derived("B", lambda changes, size: changes * size, daily_changes, inputs.assumed("change_bytes"))
 
 
 def burst_bytes(inputs: Inputs) -> Quantity:
-    """Bytes a second of a balancer over the budget's window, with the largest burst in it."""
+    """Bytes per second of the largest burst at a balancer, averaged over the budget's window."""
     return derived(
         "B/s",
-        lambda changes, size, within: changes * size / within,
+        lambda changes, size, window: changes * size / window,
         inputs.largest_burst,
         inputs.assumed("change_bytes"),
         inputs.assumed("budget_window_s"),
@@ -26,28 +26,28 @@
 
 
 def direct_answers(inputs: Inputs) -> Quantity:
-    """Answers a second in the mean, if each change is sent to each balancer by itself."""
+    """Mean answers per second if each change is sent to each balancer separately."""
     return derived("/s", lambda rate, count: rate * count, inputs.changes_per_s, inputs.balancers)
 
 
-def coalesced(inputs: Inputs) -> Quantity:
-    """Messages a second that a balancer gets at most, however many changes come."""
-    return derived("/s", lambda gather: 1.0 / gather, inputs.relay_setting("coalesce"))
+def coalesced_rate(inputs: Inputs) -> Quantity:
+    """Maximum messages per second to a balancer when changes are coalesced."""
+    return derived("/s", lambda interval: 1.0 / interval, inputs.relay_setting("coalesce"))
 
 
 def burst_core(inputs: Inputs, servers: int) -> Quantity:
-    """Percent of a core over the budget's window, when the largest burst is taken change by change."""
+    """Percent of a core over the budget's window when the largest burst is applied change by change."""
     window = inputs.assumed("budget_window_s")
-    return derived("%", lambda time, within: time / within * PERCENT, burst_time(inputs, servers), window)
+    return derived("%", lambda time, duration: time / duration * PERCENT, burst_time(inputs, servers), window)
 
 
 def configuration(inputs: Inputs) -> Role:
-    """What changes of configuration ask of a balancer."""
+    """The role of configuration changes at a balancer."""
     mean_bytes = derived(
         "B/s", lambda rate, size: rate * size, inputs.changes_per_s, inputs.assumed("change_bytes")
     )
     peak = derived(
-        "/s", lambda changes, within: changes / within, inputs.largest_burst, inputs.change_deadline
+        "/s", lambda changes, deadline: changes / deadline, inputs.largest_burst, inputs.change_deadline
     )
     rows = [
         Row(QuantityKind.STATE, "log of a day's changes", day_log(inputs), inputs.memory_budget),
@@ -59,7 +59,7 @@
         ),
         Row(QuantityKind.MESSAGES, "changes", inputs.changes_per_s),
         Row(QuantityKind.PEAK, "largest burst, within the told time", peak),
-        Row(QuantityKind.PEAK, "the same, coalesced", coalesced(inputs)),
+        Row(QuantityKind.PEAK, "the same, coalesced", coalesced_rate(inputs)),
         Row(
             QuantityKind.MESSAGES,
             "answers of one list service to all, directly",
@@ -107,12 +107,12 @@
 
 
 def configuration_quantities(inputs: Inputs) -> dict[str, Quantity]:
-    """What the chapter on configuration quotes."""
+    """Quantities quoted in the chapter on configuration."""
     return {
         "configuration.mean": inputs.changes_per_s,
         "configuration.burst": inputs.largest_burst,
         "configuration.burst_bytes": burst_bytes(inputs),
         "configuration.direct": direct_answers(inputs),
-        "configuration.coalesced": coalesced(inputs),
+        "configuration.coalesced": coalesced_rate(inputs),
         "configuration.log": day_log(inputs),
     }
--- a/benchmarks/capacity/detection.py
+++ b/benchmarks/capacity/detection.py
@@ -1,4 +1,4 @@
-"""Detection of failed machines: by each balancer itself, by a keeper of leases, or by gossip."""
+"""The role of failure detection: by each balancer itself, by leases at a store, or by gossip."""
 
 from __future__ import annotations
 
@@ -7,35 +7,35 @@
 from benchmarks.capacity.quantity import Quantity, derived, specified
 from benchmarks.capacity.roles import Mechanism, QuantityKind, Role, Row, Status
 
-SILENT_S = 3.5  # a line of a standing connection unanswered for so long: `SILENT` of `puffinford/core`
+SILENCE_LIMIT_S = 3.5  # SILENCE_LIMIT_MS of puffinford/core/silent_servers.py
 
 
-def machines(inputs: Inputs) -> Quantity:
-    """All machines, with the most servers."""
-    fleet = inputs.targets
+def machine_count(inputs: Inputs) -> Quantity:
+    """Number of machines in the fleet, with the largest number of servers."""
+    targets = inputs.targets
     return derived(
         "machines",
-        lambda servers: servers + fleet.fleet.balancers + fleet.budget.machines,
+        lambda servers: servers + targets.fleet.balancers + targets.budget.machines,
         inputs.max_servers,
     )
 
 
-def heartbeats(inputs: Inputs) -> Quantity:
-    """Heartbeats a second of all machines, one to the keeper of leases each."""
+def heartbeat_rate(inputs: Inputs) -> Quantity:
+    """Heartbeats per second if every machine sends them to a lease store."""
     return derived(
-        "/s", lambda count, interval: count / interval, machines(inputs), inputs.assumed("heartbeat_ms")
+        "/s", lambda count, interval: count / interval, machine_count(inputs), inputs.assumed("heartbeat_ms")
     )
 
 
-def all_pairs(inputs: Inputs) -> Quantity:
-    """Bytes a second of one machine, if it sends to each other one."""
+def all_pairs_bytes(inputs: Inputs) -> Quantity:
+    """Bytes per second and machine if every machine sends heartbeats to every other."""
     return derived(
-        "B/s", lambda rate, size: rate * size, heartbeats(inputs), inputs.assumed("heartbeat_bytes")
+        "B/s", lambda rate, size: rate * size, heartbeat_rate(inputs), inputs.assumed("heartbeat_bytes")
     )
 
 
-def gossip(inputs: Inputs) -> Quantity:
-    """Bytes a second of one machine by SWIM, whatever their number."""
+def gossip_bytes(inputs: Inputs) -> Quantity:
+    """Bytes per second and machine with the SWIM protocol, independent of the number of machines."""
     return derived(
         "B/s",
         lambda probes, interval, size: probes / interval * size,
@@ -46,7 +46,7 @@
 
 
 def lease_bytes(inputs: Inputs) -> Quantity:
-    """Bytes a second of one machine to the keeper of leases."""
+    """Bytes per second from one machine to a lease store."""
     return derived(
         "B/s",
         lambda interval, size: size / interval,
@@ -55,8 +55,8 @@
     )
 
 
-def detected_after(inputs: Inputs) -> Quantity:
-    """Until a lease has run out."""
+def lease_expiry(inputs: Inputs) -> Quantity:
+    """Time until the lease of a failed machine expires."""
     return derived(
         "s",
         lambda interval, missed: interval * missed,
@@ -65,19 +65,19 @@
     )
 
 
-def wasted_attempts(inputs: Inputs) -> Quantity:
-    """Attempts at dead machines a day, if each balancer finds out by itself."""
+def failed_attempts(inputs: Inputs) -> Quantity:
+    """Failed attempts per day if each balancer detects failed machines by itself."""
     daily_failures = specified(inputs.targets.failures.machines_per_day, "")
     return derived("attempts", lambda failed, count: failed * count, daily_failures, inputs.balancers)
 
 
 def detection(inputs: Inputs) -> Role:
-    """Who learns when that a machine has failed."""
+    """The role of failure detection: its load and its detection times."""
     failures = inputs.targets.failures
-    mean = specified((failures.machines_per_day + failures.restarts_per_day) / DAY_S, "/s")
-    zone = derived("machines", lambda count, zones: count / zones, machines(inputs), inputs.zones)
-    peak = derived("/s", lambda count, within: count / within, zone, inputs.change_deadline)
-    per_machine = inputs.per_control_machine(heartbeats(inputs))
+    mean_rate = specified((failures.machines_per_day + failures.restarts_per_day) / DAY_S, "/s")
+    zone = derived("machines", lambda count, zones: count / zones, machine_count(inputs), inputs.zones)
+    peak = derived("/s", lambda count, deadline: count / deadline, zone, inputs.change_deadline)
+    per_machine = inputs.per_control_machine(heartbeat_rate(inputs))
     core = derived(
         "cores",
         lambda rate, cost: rate * cost,
@@ -85,7 +85,7 @@
         call_cpu_time(inputs, inputs.targets.fleet.balancers),
     )
     state = derived(
-        "B", lambda count, size: count * size, machines(inputs), inputs.assumed("shard_entry_bytes")
+        "B", lambda count, size: count * size, machine_count(inputs), inputs.assumed("shard_entry_bytes")
     )
     return Role(
         "detection",
@@ -99,13 +99,13 @@
                 state,
                 inputs.assumed("machine_memory_gb"),
             ),
-            Row(QuantityKind.MESSAGES, "machines that fail or restart", mean),
+            Row(QuantityKind.MESSAGES, "machines that fail or restart", mean_rate),
             Row(QuantityKind.PEAK, "machines of a lost zone, told within the told time", peak),
             Row(QuantityKind.MESSAGES, "heartbeats at a control machine", per_machine),
             Row(
                 QuantityKind.BYTES,
                 "heartbeats of each machine to each",
-                all_pairs(inputs),
+                all_pairs_bytes(inputs),
                 inputs.bytes_budget,
             ),
             Row(
@@ -114,7 +114,7 @@
                 lease_bytes(inputs),
                 inputs.bytes_budget,
             ),
-            Row(QuantityKind.BYTES, "gossip (SWIM)", gossip(inputs), inputs.bytes_budget),
+            Row(QuantityKind.BYTES, "gossip (SWIM)", gossip_bytes(inputs), inputs.bytes_budget),
             Row(
                 QuantityKind.PROCESSOR,
                 "heartbeats at a control machine, each as one call of the list service",
@@ -124,9 +124,9 @@
             Row(
                 QuantityKind.TIME,
                 "a standing connection of ours that is silent is moved after",
-                silent_after(),
+                silence_limit(),
             ),
-            Row(QuantityKind.TIME, "a lease has run out after", detected_after(inputs)),
+            Row(QuantityKind.TIME, "a lease has run out after", lease_expiry(inputs)),
         ),
         (
             Mechanism(
@@ -145,23 +145,23 @@
     )
 
 
-def silent_after() -> Quantity:
-    """When a standing connection with an unanswered line is moved: set in this program."""
-    return specified(SILENT_S, "s")
+def silence_limit() -> Quantity:
+    """Time until a connection with an unanswered line is moved, as set in this program."""
+    return specified(SILENCE_LIMIT_S, "s")
 
 
 def detection_quantities(inputs: Inputs) -> dict[str, Quantity]:
-    """What the chapter on detection quotes."""
+    """Quantities quoted in the chapter on detection."""
     return {
-        "detection.machines": machines(inputs),
-        "detection.all_pairs": all_pairs(inputs),
-        "detection.gossip": gossip(inputs),
+        "detection.machines": machine_count(inputs),
+        "detection.all_pairs": all_pairs_bytes(inputs),
+        "detection.gossip": gossip_bytes(inputs),
         "detection.lease": lease_bytes(inputs),
-        "detection.after": detected_after(inputs),
-        "detection.silent": silent_after(),
-        "detection.wasted": wasted_attempts(inputs),
-        "detection.heartbeats": heartbeats(inputs),
+        "detection.after": lease_expiry(inputs),
+        "detection.silent": silence_limit(),
+        "detection.wasted": failed_attempts(inputs),
+        "detection.heartbeats": heartbeat_rate(inputs),
         "detection.heartbeats_half": inputs.per_control_machine(
-            heartbeats(inputs), lost=inputs.targets.budget.machines // 2
+            heartbeat_rate(inputs), lost=inputs.targets.budget.machines // 2
         ),
     }
--- a/benchmarks/capacity/inputs.py
+++ b/benchmarks/capacity/inputs.py
@@ -1,4 +1,4 @@
-"""What all roles reckon with: targets, measurements, and the parts of a balancer and a control machine."""
+"""Inputs shared by all roles: targets, measurements, and values derived from them in one step."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 @dataclass(frozen=True)
 class Inputs:
-    """One fleet's targets and the results; what follows from both in one step."""
+    """One fleet's targets and measurements, with the values derived directly from them."""
 
     targets: Targets
     measurements: Measurements
 
     def assumed(self, name: str) -> Quantity:
-        """An assumption, by its name in the file of targets."""
+        """An assumption, by its name in the targets file."""
         return self.targets.assumed.quantity(name)
 
     @property
@@ -33,7 +33,7 @@
 
     @cached_property
     def max_servers(self) -> Quantity:
-        """The greatest of the assumed numbers of servers."""
+        """The largest assumed number of servers."""
         return assumed(self.server_counts[-1], "servers")
 
     @cached_property
@@ -50,19 +50,19 @@
 
     @cached_property
     def connections_per_balancer(self) -> Quantity:
-        """Standing connections of a balancer."""
+        """Established connections per balancer."""
         fleet = self.targets.fleet
         return specified(fleet.connections / fleet.balancers, "connections")
 
     @cached_property
     def deliveries_per_balancer(self) -> Quantity:
-        """Deliveries a second of a balancer, in the mean."""
+        """Mean deliveries per second and balancer."""
         fleet = self.targets.fleet
         return specified(fleet.deliveries_per_s / fleet.balancers, "/s")
 
     @cached_property
     def changes_per_s(self) -> Quantity:
-        """Changes of configuration a second, in the mean of a day."""
+        """Configuration changes per second, averaged over a day."""
         return specified(self.targets.changes.per_day / DAY_S, "/s")
 
     @cached_property
@@ -87,85 +87,87 @@
 
     @cached_property
     def watch_wait(self) -> Quantity:
-        """For how long a balancer's watch waits at the list service: set in this program."""
+        """How long a balancer's watch waits at the list service, as set in this program."""
         return specified(WATCH_WAIT_MS / 1_000.0, "s")
 
     @cached_property
     def relay_watch_wait(self) -> Quantity:
-        """The same at a relay."""
+        """How long a balancer's watch waits at a relay, as set in this program."""
         return specified(RELAYED_TIMING.wait / 1_000.0, "s")
 
     def relay_setting(self, name: str) -> Quantity:
-        """A duration of the relay's settings, by its default."""
+        """The default of one duration in the relay's settings."""
         return specified(getattr(RelaySettings(), name) / 1_000.0, "s")
 
     @cached_property
     def list_service_rate(self) -> Quantity:
-        """Calls a second that the one list service answers."""
+        """Calls per second that one list service can answer."""
         return derived("/s", lambda service: 1.0 / service, self.assumed("list_service_ms"))
 
     @cached_property
     def line_cost(self) -> Quantity:
-        """Processor time of one delivered line."""
+        """Processor time per delivered line."""
         return self.measurements.unit_cost(
             "data.line_us", self.targets.fleet.deliveries_per_s / self.targets.fleet.balancers
         )
 
     @cached_property
     def connection_memory(self) -> Quantity:
-        """Resident memory of one standing connection in a process."""
-        standing = self.connections_per_process
-        found = self.measurements.unit_cost("data.connection_kib", standing.value or 0.0)
-        return derived("B", lambda each, _: each, found, standing)
+        """Resident memory per established connection."""
+        connections = self.connections_per_process
+        found = self.measurements.unit_cost("data.connection_kib", connections.value or 0.0)
+        return derived("B", lambda size, _: size, found, connections)
 
     @cached_property
     def delivery_cores(self) -> Quantity:
-        """Cores that a balancer's deliveries take, in the mean."""
+        """Mean number of cores used by a balancer's deliveries."""
         return derived("cores", lambda rate, cost: rate * cost, self.deliveries_per_balancer, self.line_cost)
 
     @cached_property
     def process_core_budget(self) -> Quantity:
-        """The part of its one core that a process may be busy."""
-        return derived("cores", lambda part: part / PERCENT, self.assumed("process_core_pct"))
+        """The fraction of its core that a process may use."""
+        return derived("cores", lambda percent: percent / PERCENT, self.assumed("process_core_pct"))
 
     @cached_property
     def processes_per_balancer(self) -> Quantity:
-        """Processes of ours that carry one balancer's deliveries."""
+        """Processes needed for one balancer's deliveries."""
         return derived(
             "processes",
-            lambda cores, most: max(1, math.ceil(cores / most)),
+            lambda cores, limit: max(1, math.ceil(cores / limit)),
             self.delivery_cores,
             self.process_core_budget,
         )
 
     @cached_property
     def cores_per_machine(self) -> Quantity:
-        """Cores of one machine."""
+        """Cores per machine."""
         return assumed(self.targets.assumed.machine_cores.value, "cores")
 
     @cached_property
     def connections_per_process(self) -> Quantity:
-        """Standing connections of one of a balancer's processes."""
+        """Established connections per process."""
         return derived(
             "connections",
-            lambda count, parts: count / parts,
+            lambda count, processes: count / processes,
             self.connections_per_balancer,
             self.processes_per_balancer,
         )
 
     @cached_property
     def watches_per_process_total(self) -> Quantity:
-        """Watches of the list, where each process of each balancer has its own."""
+        """Watches in the fleet if every process of every balancer has its own."""
         return derived(
-            "watches", lambda count, parts: count * parts, self.balancers, self.processes_per_balancer
+            "watches", lambda count, processes: count * processes, self.balancers, self.processes_per_balancer
         )
 
     def measured_at_quantity(self, series: str, over: str, size: Quantity) -> Quantity:
-        """A series at a size that is itself reckoned; its basis is the weaker of both."""
+        """A series at a size that is itself derived; the basis is the weaker of the two."""
         found = self.measurements.at(series, over, size.value or 0.0)
         return derived(found.unit, lambda value, _: value, found, size)
 
     def per_control_machine(self, quantity: Quantity, lost: int = 0) -> Quantity:
-        """A quantity of the fleet, shared evenly by the control machines that are left."""
-        left = specified(max(1, self.targets.budget.machines - lost), "machines")
-        return derived(quantity.unit, lambda whole, machines: whole / machines, quantity, left)
+        """A fleet-wide quantity divided evenly among the control machines, of which `lost` have failed."""
+        remaining = specified(max(1, self.targets.budget.machines - lost), "machines")
+        return derived(
+            quantity.unit, lambda fleet_total, machines: fleet_total / machines, quantity, remaining
+        )
--- a/benchmarks/capacity/measurements.py
+++ b/benchmarks/capacity/measurements.py
@@ -1,8 +1,8 @@
-"""Values of measured series at any size: between the measured points, or beyond them by the fitted line.
+"""Values of measured series at any size: interpolated between points, or extrapolated by the fitted line.
 
-At a measured point the value is the median over its runs, between two points it lies on the line through
-both. Beyond the range it goes on from the outermost point by the fit's slope, or flat where that is
-negative, and is marked as extrapolated.
+At a measured point the value is the median over its runs; between two points it is interpolated linearly.
+Outside the measured range it is extrapolated from the outermost point with the slope of the fit, or as a
+constant if the slope is negative.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from benchmarks.capacity.quantity import Basis, MeasuredRange, Quantity, not_measured
 from benchmarks.scale.records import BadRecord, Fit, Point, SlopeResults
 
-# Units of series: the unit in which the page reckons, and the factor to it.
+# Units of series: the unit used on the page, and the factor that converts to it.
 _UNITS = {
     "us": ("s", 1e-6),
     "ms": ("s", 1e-3),
@@ -30,7 +30,7 @@
     "calls/s": ("/s", 1.0),
 }
 
-# The series that the page uses, with the units in which it reckons them.
+# The series that the page uses, with their units on the page.
 SERIES = {
     "module.whole_list": "s",
     "module.one_change": "s",
@@ -63,42 +63,42 @@
 }
 
 
-Fixed = tuple[tuple[str, float], ...]  # the inputs of a curve that do not vary, by name
+Fixed = tuple[tuple[str, float], ...]  # names and values of the inputs that are held constant
 
 
 @dataclass(frozen=True)
 class _Curve:
-    """One series over one input, the others fixed: sizes with their medians, in the unit of the page."""
+    """One series over one input with the others held constant: sizes and medians, in the page's unit."""
 
     over: str
     sizes: list[float]
     medians: list[float]
-    slope: float | None  # beyond the range; None: no line was fitted
+    slope: float | None  # for extrapolation; None if no line was fitted
 
     def at(self, size: float, unit: str, series: str) -> Quantity:
         measured = MeasuredRange(series, self.over, self.sizes[0], self.sizes[-1])
         if measured.low <= size <= measured.high:
-            return Quantity(self._between(size), unit, Basis.MEASURED)
+            return Quantity(self._interpolate(size), unit, Basis.MEASURED)
         if self.slope is None:
             return not_measured(f"{series} beyond {measured}", unit)
         nearest = 0 if size < measured.low else -1
-        # Guards against costs that fall with size: a slope below 0 is noise, and counts as flat.
+        # Prevents costs from decreasing with size: a negative slope is noise and counts as 0.
         value = self.medians[nearest] + max(0.0, self.slope) * (size - self.sizes[nearest])
         return Quantity(max(0.0, value), unit, Basis.EXTRAPOLATED, (measured,))
 
-    def _between(self, size: float) -> float:
+    def _interpolate(self, size: float) -> float:
         for position, upper in enumerate(self.sizes):
             if upper == size:
                 return self.medians[position]
             if upper > size:
                 lower = self.sizes[position - 1]
-                part = (size - lower) / (upper - lower)
-                return self.medians[position - 1] * (1.0 - part) + self.medians[position] * part
+                weight = (size - lower) / (upper - lower)
+                return self.medians[position - 1] * (1.0 - weight) + self.medians[position] * weight
         return self.medians[-1]
 
 
 class Measurements:
-    """The results of slopes; without them nothing is measured. Raises BadRecord for a wrong unit."""
+    """Lookup of measured series by size; raises BadRecord if a series has a wrong unit."""
 
     def __init__(self, results: SlopeResults | None) -> None:
         self._points = results.points if results else []
@@ -107,12 +107,12 @@
             _check_unit(point, f"slopes.json: $.points[{position}].unit")
         for position, fit in enumerate(self._fits):
             _check_unit(fit, f"slopes.json: $.fits[{position}].unit")
-        self._known: dict[tuple[str, str], dict[Fixed, _Curve]] = {}
+        self._curve_cache: dict[tuple[str, str], dict[Fixed, _Curve]] = {}
 
     def at(self, series: str, over: str, size: float, **near: float) -> Quantity:
-        """A series at one size of the input `over`, measured where the other inputs are nearest to `near`.
+        """The value of a series at one size of the input `over`, with the other inputs nearest to `near`.
 
-        Where they are others than wanted, the value counts as extrapolated from there.
+        If the other inputs differ from those in `near`, the value counts as extrapolated.
         """
         unit = SERIES[series]
         curves = self._curves(series, over)
@@ -120,28 +120,28 @@
             return not_measured(f"{series} by {over}", unit)
         fixed = _nearest(curves, near)
         found = curves[fixed].at(size, unit, series)
-        elsewhere = [MeasuredRange(series, name, at, at) for name, at in fixed if near.get(name, at) != at]
-        if not elsewhere:
+        substituted = [MeasuredRange(series, name, at, at) for name, at in fixed if near.get(name, at) != at]
+        if not substituted:
             return found
-        ranges = tuple(sorted({*found.ranges, *elsewhere}))
+        ranges = tuple(sorted({*found.ranges, *substituted}))
         return replace(found, basis=Basis.EXTRAPOLATED, ranges=ranges)
 
     def nearest_input(self, series: str, over: str, name: str, wanted: float) -> float:
-        """The measured value of the input `name` nearest to the wanted one, where `over` varied."""
+        """The value of the input `name` nearest to `wanted` at which the series was measured over `over`."""
         curves = self._curves(series, over)
         return dict(_nearest(curves, {name: wanted})).get(name, wanted) if curves else wanted
 
     def unit_cost(self, series: str, size: float, **near: float) -> Quantity:
-        """What one of `size` costs, by a series of costs for each one.
+        """The cost per item at a number of `size` items, from a series of costs per item.
 
-        Beyond the measured range the cost at the greatest measured size is taken, as extrapolated. Without an
-        input it is the measured one.
+        Outside the measured range the cost at the nearest measured size counts as extrapolated. A series
+        without inputs has the same cost at every size.
         """
         unit = SERIES[series]
         points = [point for point in self._points if point.series == series]
         if not points:
             return not_measured(series, unit)
-        over = _most_varied(points)
+        over = _most_varied_input(points)
         if not over:
             return Quantity(_median(points[-1]), unit, Basis.MEASURED)
         sizes = [point.inputs[over] for point in points if over in point.inputs]
@@ -154,12 +154,12 @@
         return Quantity(known.value, unit, Basis.EXTRAPOLATED, ranges)
 
     def _curves(self, series: str, over: str) -> dict[Fixed, _Curve]:
-        """The curves of a series over one input, by the other inputs."""
-        if (series, over) not in self._known:
-            self._known[series, over] = self._curves_anew(series, over)
-        return self._known[series, over]
+        """The curves of a series over one input, by the values of the other inputs."""
+        if (series, over) not in self._curve_cache:
+            self._curve_cache[series, over] = self._build_curves(series, over)
+        return self._curve_cache[series, over]
 
-    def _curves_anew(self, series: str, over: str) -> dict[Fixed, _Curve]:
+    def _build_curves(self, series: str, over: str) -> dict[Fixed, _Curve]:
         fits = {
             tuple(sorted(fit.fixed.items())): fit
             for fit in self._fits
@@ -170,27 +170,27 @@
             if point.series == series and over in point.inputs:
                 fixed = tuple(sorted((name, size) for name, size in point.inputs.items() if name != over))
                 medians.setdefault(fixed, {})[point.inputs[over]] = _median(point)
-        curves = {fixed: _by_points(over, found, fits.get(fixed)) for fixed, found in medians.items()}
-        return curves | {fixed: _by_line(fit) for fixed, fit in fits.items() if fixed not in curves}
+        curves = {fixed: _curve_from_points(over, found, fits.get(fixed)) for fixed, found in medians.items()}
+        return curves | {fixed: _curve_from_fit(fit) for fixed, fit in fits.items() if fixed not in curves}
 
 
 def _nearest(curves: dict[Fixed, _Curve], near: dict[str, float]) -> Fixed:
-    """The curve measured nearest to the wanted inputs; of several the longest, for it has most points.
+    """The curve whose constant inputs are nearest to `near`; ties go to the curve with the most points.
 
-    A single point, where the input did not vary, counts only where there is nothing else.
+    Curves with a single point are used only if there are no others.
     """
     varied = [fixed for fixed, curve in curves.items() if len(curve.sizes) > 1] or list(curves)
-    return min(varied, key=lambda one: (_distance(dict(one), near), -len(curves[one].sizes), one))
+    return min(varied, key=lambda key: (_distance(dict(key), near), -len(curves[key].sizes), key))
 
 
-def _by_points(over: str, medians: dict[float, float], fit: Fit | None) -> _Curve:
+def _curve_from_points(over: str, medians: dict[float, float], fit: Fit | None) -> _Curve:
     sizes = sorted(medians)
     slope = None if fit is None else fit.slope * _UNITS[fit.unit][1]
     return _Curve(over, sizes, [medians[size] for size in sizes], slope)
 
 
-def _by_line(fit: Fit) -> _Curve:
-    """The curve of a line whose points are not among the results."""
+def _curve_from_fit(fit: Fit) -> _Curve:
+    """The curve of a fitted line whose points are not in the results."""
     factor = _UNITS[fit.unit][1]
     ends = [fit.low, fit.high]
     return _Curve(
@@ -201,8 +201,8 @@
     )
 
 
-def _most_varied(points: list[Point]) -> str:
-    """The input of which the points have most sizes; empty where they have no inputs."""
+def _most_varied_input(points: list[Point]) -> str:
+    """The input with the most distinct sizes; empty if the points have no inputs."""
     sizes: dict[str, set[float]] = {}
     for point in points:
         for name, size in point.inputs.items():
@@ -215,14 +215,14 @@
 
 
 def _distance(fixed: dict[str, float], near: dict[str, float]) -> float:
-    """How far the fixed inputs lie from those wanted: the differences over the sums."""
+    """The relative distance between inputs: the sum of differences, each divided by the sum of its pair."""
     pairs = [(fixed[name], wanted) for name, wanted in near.items() if name in fixed]
-    return math.fsum(abs(one - other) / (one + other) for one, other in pairs if one != other)
+    return math.fsum(abs(left - right) / (left + right) for left, right in pairs if left != right)
 
 
 def _check_unit(record: Point | Fit, place: str) -> None:
     wanted = SERIES.get(record.series)
     if wanted is None:
-        return  # a series that the page does not use
+        return  # the page does not use this series
     if record.unit not in _UNITS or _UNITS[record.unit][0] != wanted:
-        raise BadRecord(f"{place}: {record.unit!r} of {record.series} is no unit of {wanted!r}")
+        raise BadRecord(f"{place}: {record.unit!r} of {record.series} is not a unit of {wanted!r}")
--- a/benchmarks/capacity/model.py
+++ b/benchmarks/capacity/model.py
@@ -1,4 +1,4 @@
-"""A fleet's capacity: all roles, chapters and the ranking, from targets and results. No I/O."""
+"""The capacity model of a fleet: all roles and the ranking, from targets and results. No I/O."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 @dataclass(frozen=True)
 class Capacity:
-    """Everything that the page shows of one fleet."""
+    """All that the page shows about one fleet."""
 
     targets: Targets
     slopes: SlopeResults | None
     runs: list[ScaleRun]
     roles: list[Role]
-    named_quantities: dict[str, Quantity]  # that the text quotes, by name
+    named_quantities: dict[str, Quantity]  # quoted in the template's text
     hops: list[delivery.Hop]
     lookup_options: list[shards.LookupOption]
     loads: list[lists.RelayLoad]
@@ -40,17 +40,17 @@
 
     @property
     def first_to_build(self) -> RankedQuantity | None:
-        """The ranked quantity whose mechanism is built first."""
+        """The ranked quantity whose mechanism is to be built first."""
         return ranking.first_to_build(self.ranking)
 
     @property
     def ranked_above_first(self) -> list[RankedQuantity]:
-        """What is further over its budget than that."""
-        built = self.first_to_build
-        return self.ranking[: self.ranking.index(built)] if built else []
+        """The quantities that exceed their budgets by more than the first one to build."""
+        first = self.first_to_build
+        return self.ranking[: self.ranking.index(first)] if first else []
 
     def quantities(self) -> Iterator[Quantity]:
-        """All quantities that the page may show, with the parts of its tables."""
+        """All quantities that the page may show."""
         yield from self.named_quantities.values()
         for role in self.roles:
             yield from (row.quantity for row in role.rows)
@@ -60,33 +60,33 @@
             yield entry.quantity
 
     def ranked_quantities(self) -> list[Quantity]:
-        """Those of the table of ranks."""
+        """Quantities of the ranking table."""
         return [quantity for entry in self.ranking for quantity in (entry.quantity, entry.budget)]
 
     def process_count_quantities(self) -> list[Quantity]:
-        """Those of the chapter on what a balancer is."""
+        """Quantities of the chapter on the processes of a balancer."""
         return [quantity for name, quantity in self.named_quantities.items() if name.startswith("data.")]
 
     def load_quantities(self) -> list[Quantity]:
-        """Those of the table of relays."""
+        """Quantities of the relay load table."""
         return [quantity for load in self.loads for quantity in (load.core_pct, load.last_notified_after)]
 
     def loss_quantities(self) -> list[Quantity]:
-        """Those of the table of losses."""
-        return [quantity for one in self.losses for quantity in (one.plain_time, one.encrypted_time)]
+        """Quantities of the loss table."""
+        return [quantity for loss in self.losses for quantity in (loss.plain_time, loss.encrypted_time)]
 
     @property
     def missing(self) -> list[str]:
-        """What has not been measured and the page would show."""
-        return sorted({series for one in self.quantities() for series in one.missing})
+        """Names of series that the page needs and that have not been measured."""
+        return sorted({series for quantity in self.quantities() for series in quantity.missing})
 
 
 def compute_capacity(targets: Targets, slopes: SlopeResults | None, runs: RunResults | None) -> Capacity:
-    """The capacity of a fleet by what was measured; None: nothing was."""
+    """Compute the capacity of a fleet; None stands for results that do not exist."""
     inputs = Inputs(targets, Measurements(slopes))
-    shown = runs.runs if runs else []
+    scale_runs = runs.runs if runs else []
     named_quantities: dict[str, Quantity] = {}
-    for part in (
+    for quantities_of in (
         balancer.data_path_quantities,
         lists.list_quantities,
         shards.shard_quantities,
@@ -95,16 +95,16 @@
         configuration.configuration_quantities,
         reconnecting.reconnecting_quantities,
     ):
-        named_quantities |= part(inputs)
+        named_quantities |= quantities_of(inputs)
     return Capacity(
         targets=targets,
         slopes=slopes,
-        runs=shown,
+        runs=scale_runs,
         roles=[
             balancer.control(inputs),
             balancer.data_path(inputs),
-            lists.list_service_role(inputs, relay_status(shown)),
-            shards.holder(inputs),
+            lists.list_service_role(inputs, relay_status(scale_runs)),
+            shards.shard_directory(inputs),
             delivery.delivery(inputs),
             detection.detection(inputs),
             configuration.configuration(inputs),
@@ -120,5 +120,5 @@
 
 
 def relay_status(runs: list[ScaleRun]) -> Status:
-    """Runs here once a run with relays held its size; begun until then."""
+    """Implemented once a run with relays has held its size; partial until then."""
     return Status.IMPLEMENTED if any(run.relays > 0 and run.held for run in runs) else Status.PARTIAL
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -1,4 +1,4 @@
-"""The page as Markdown: the text of `page.md.j2`, with every table and figure computed."""
+"""Rendering of the capacity page: `page.md.j2` with its tables and quantities, as Markdown."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 EMPTY_CELL = "-"
 LINE_WIDTH = 120
 _FILL = textwrap.TextWrapper(LINE_WIDTH, break_long_words=False, break_on_hyphens=False)
-MIN_MULTIPLE = 0.01  # of multiples
+MIN_MULTIPLE = 0.01  # smaller multiples are shown as "under"
 
 
 def render(capacity: Capacity) -> str:
-    """The whole page. Raises jinja2.UndefinedError where the text quotes a figure that there is not."""
+    """Render the page; raises jinja2.UndefinedError if the template names an unknown quantity."""
     environment = jinja2.Environment(
         loader=jinja2.FileSystemLoader(Path(__file__).parent),
         undefined=jinja2.StrictUndefined,
         trim_blocks=True,
         lstrip_blocks=True,
         keep_trailing_newline=True,
-        autoescape=False,  # Markdown for a page of ours, from files of ours
+        autoescape=False,  # the output is Markdown and all input is trusted
     )
     environment.globals.update(
         role_table=role_table,
@@ -60,7 +60,7 @@
 
 
 def wrap_blocks(page: str) -> str:
-    """The page with its paragraphs and points filled, and one empty line between blocks."""
+    """Wrap paragraphs and list items at the line width, with one empty line between blocks."""
     blocks = [block.strip("\n") for block in re.split(r"\n{2,}", page)]
     return "\n\n".join(_fill_block(block) for block in blocks if block.strip()) + "\n"
 
@@ -68,19 +68,19 @@
 def _fill_block(block: str) -> str:
     if block.startswith(("|", "#")):
         return block
-    points = re.split(r"\n(?=- )", block)
-    return "\n".join(_FILL.fill(" ".join(point.split())) for point in points)
+    items = re.split(r"\n(?=- )", block)
+    return "\n".join(_FILL.fill(" ".join(item.split())) for item in items)
 
 
-def markdown_table(heads: Iterable[str], rows: Iterable[Iterable[str]]) -> str:
-    """A table; a bar within a cell is escaped."""
-    names = list(heads)
+def markdown_table(headings: Iterable[str], rows: Iterable[Iterable[str]]) -> str:
+    """A Markdown table; escapes vertical bars in cells."""
+    names = list(headings)
     lines = [names, ["---"] * len(names), *([cell.replace("|", "\\|") for cell in row] for row in rows)]
     return "\n".join("| " + " | ".join(line) + " |" for line in lines)
 
 
 def format_multiple(quantity: Quantity | None) -> str:
-    """A multiple of a budget, with its short mark."""
+    """Format the multiple of a budget with its short mark; a dash if there is no budget."""
     if quantity is None:
         return EMPTY_CELL
     if quantity.value is None:
@@ -91,8 +91,8 @@
 
 
 def ranges_of(quantities: Iterable[Quantity]) -> str:
-    """The sentence that says once where what a table extrapolates was measured; empty where it does not."""
-    ranges = sorted({measured for one in quantities for measured in one.ranges})
+    """A sentence with the measured ranges of a table's extrapolated values; empty if there are none."""
+    ranges = sorted({measured for quantity in quantities for measured in quantity.ranges})
     if not ranges:
         return ""
     by_series: dict[str, list[str]] = {}
@@ -103,8 +103,8 @@
 
 
 def role_table(role: Role) -> str:
-    """The quantities of a role beside their budgets: first those that depend on the number of servers."""
-    plain = [row for row in role.rows if row.servers is None]
+    """Tables of a role's quantities and budgets, first those that depend on the number of servers."""
+    independent = [row for row in role.rows if row.servers is None]
     by_servers = [row for row in role.rows if row.servers is not None]
     tables = [servers_table(by_servers)] if by_servers else []
     tables.append(
@@ -118,7 +118,7 @@
                     format_budget(row),
                     format_multiple(row.multiple),
                 )
-                for row in plain
+                for row in independent
             ),
         )
     )
@@ -127,7 +127,7 @@
 
 
 def servers_table(rows: list[Row]) -> str:
-    """A line for each quantity, a column for each number of servers."""
+    """A table with a row per quantity and a column per number of servers."""
     counts = sorted({row.servers for row in rows if row.servers is not None})
     found = {(row.kind, row.name, row.servers): row for row in rows}
     names = dict.fromkeys((row.kind, row.name) for row in rows)
@@ -150,7 +150,7 @@
 
 
 def format_value_and_multiple(row: Row) -> str:
-    """A value, and how many times its budget it is."""
+    """Format a value with its multiple of the budget."""
     found = row.multiple
     if found is None or found.value is None:
         return row.quantity.short
@@ -159,15 +159,15 @@
 
 
 def mechanism_table(mechanisms: Iterable[Mechanism]) -> str:
-    """The mechanisms of a role."""
+    """Table of the mechanisms of a role."""
     return markdown_table(
         ("mechanism", "it", "remark"),
-        ((one.term, f"*{one.status.value}*", one.remark) for one in mechanisms),
+        ((mechanism.term, f"*{mechanism.status.value}*", mechanism.remark) for mechanism in mechanisms),
     )
 
 
 def ranking_table(entries: Iterable[RankedQuantity]) -> str:
-    """What is over its budget by today's mechanisms, the greatest first."""
+    """Table of the ranked quantities, largest multiple of the budget first."""
     return markdown_table(
         ("multiple", "quantity", "value", "budget", "carried by", "remark"),
         (
@@ -185,7 +185,7 @@
 
 
 def lookup_option_table(lookup_options: Iterable[LookupOption]) -> str:
-    """How a balancer learns who serves a shard."""
+    """Table of the options for a balancer to look up the owner of a shard."""
     return markdown_table(
         (
             "way",
@@ -209,8 +209,8 @@
     )
 
 
-def hop_table(hops: list[Hop], queue: Quantity, together: Quantity) -> str:
-    """The tree of deliveries, with its sums; `queue` is that of all hops."""
+def hop_table(hops: list[Hop], queue: Quantity, total_time: Quantity) -> str:
+    """Table of the delivery tree with totals; `queue` is the queueing time of all hops together."""
     rows = [
         (
             hop.name,
@@ -224,12 +224,12 @@
     ]
     sending, latency = (total(*(getattr(hop, part) for hop in hops)) for part in ("sending", "latency"))
     rows.append(("together", "", "", sending.short, latency.short, queue.short))
-    heads = ("hop", "receivers", "children of a sender", "sending", "way", "queue, told part")
-    return "\n\n".join(part for part in (markdown_table(heads, rows), ranges_of([together])) if part)
+    headings = ("hop", "receivers", "children of a sender", "sending", "way", "queue, told part")
+    return "\n\n".join(part for part in (markdown_table(headings, rows), ranges_of([total_time])) if part)
 
 
 def loss_table(losses: Iterable[Loss]) -> str:
-    """What a lost rack, zone and region bring back to the others."""
+    """Table of the load on the remaining balancers after the loss of a rack, a zone or a region."""
     return markdown_table(
         (
             "lost",
@@ -243,22 +243,22 @@
         ),
         (
             (
-                one.name,
-                one.clients.amount,
-                one.clients_per_balancer.amount,
-                one.connections_held.amount,
-                one.plain_time.short,
-                one.encrypted_time.short,
-                one.admission.short,
-                one.jitter_window.short,
+                loss.name,
+                loss.clients.amount,
+                loss.clients_per_balancer.amount,
+                loss.connections_held.amount,
+                loss.plain_time.short,
+                loss.encrypted_time.short,
+                loss.admission.short,
+                loss.jitter_window.short,
             )
-            for one in losses
+            for loss in losses
         ),
     )
 
 
 def relay_load_table(loads: Iterable[RelayLoad]) -> str:
-    """What relays carry."""
+    """Table of the load on relays."""
     return markdown_table(
         (
             "relays",
@@ -272,37 +272,37 @@
         ),
         (
             (
-                one.title,
-                format_number(one.balancers_per_relay.value or 0.0),
-                one.idle_calls.short,
-                one.core_pct.short,
-                one.answer_time.short,
-                one.upstream_calls.short,
-                one.upstream_time.short,
-                one.last_notified_after.short,
+                load.title,
+                format_number(load.balancers_per_relay.value or 0.0),
+                load.idle_calls.short,
+                load.core_pct.short,
+                load.answer_time.short,
+                load.upstream_calls.short,
+                load.upstream_time.short,
+                load.last_notified_after.short,
             )
-            for one in loads
+            for load in loads
         ),
     )
 
 
 def run_table(runs: Iterable[ScaleRun], within_s: float) -> str:
-    """Until when balancers had the changes, by runs of hollow ones beside real ones."""
-    heads = (
+    """Table of the delay until balancers had the changes, one row per run."""
+    headings = (
         "story", "relays", "hollow", "real", "processes", "servers", "service", "p50", "p99", "last",
         "without it", "real p99", "real last", f"99 in 100 within {format_number(within_s)} s", "held",
         "hollow loops late", "lost",
     )  # fmt: skip
-    return markdown_table(heads, (run_row(run, within_s) for run in sorted_runs(runs)))
+    return markdown_table(headings, (run_row(run, within_s) for run in sorted_runs(runs)))
 
 
 def sorted_runs(runs: Iterable[ScaleRun]) -> list[ScaleRun]:
-    """Runs of one story and size next to one another, without relays first."""
+    """Sort runs by story and size, and by number of relays last."""
     return sorted(runs, key=lambda run: (run.story, run.hollow, run.servers, run.service_ms, run.relays))
 
 
 def run_row(run: ScaleRun, within_s: float) -> tuple[str, ...]:
-    """One run: its size, seconds after the change at the source, and whether it held."""
+    """Cells of one run: size, delay after the change at the source, and whether the run completed."""
     hollow, real = run.told_hollow, run.told_real
     missed = hollow.missed + real.missed
     in_time = missed == 0 and max(hollow.p99_s, real.p99_s) <= within_s
@@ -328,17 +328,17 @@
 
 
 def run_cost_table(runs: Iterable[ScaleRun]) -> str:
-    """What the same runs cost; of a core, the mean over a run."""
-    heads = (
+    """Table of the resource usage of runs; core percentages are means over a run."""
+    headings = (
         "story", "relays", "hollow", "calls at the source", "peak", "sent", "its core", "calls of a balancer",
         "bytes", "hollow's core", "hollow's memory", "real's core", "real's memory", "relay's core, most",
         "relay's memory", "relay sends",
     )  # fmt: skip
-    return markdown_table(heads, (run_cost_row(run) for run in sorted_runs(runs)))
+    return markdown_table(headings, (run_cost_row(run) for run in sorted_runs(runs)))
 
 
 def run_cost_row(run: ScaleRun) -> tuple[str, ...]:
-    """What one run cost."""
+    """Cells of one run: calls, bytes, processor time and memory."""
     relays = run.relays > 0
     return (
         run.story,
@@ -361,7 +361,7 @@
 
 
 def fit_table(fits: Iterable[Fit]) -> str:
-    """The fitted lines."""
+    """Table of the fitted lines."""
     return markdown_table(
         ("series", "over", "fixed", "range", "slope", "of single runs", "intercept", "residual", "runs"),
         (
@@ -383,28 +383,28 @@
 
 
 def provenance_table(measured: Iterable[Provenance]) -> str:
-    """Where and when was measured; what is the same stands once."""
+    """Table of dates, commits and machines of the measurements, without duplicates."""
     rows = [
         (
-            one.date,
-            one.commit,
-            f"{one.machine.cores} cores, {format_number(one.machine.memory_gib)} GiB, "
-            f"{one.machine.python}, {one.machine.system}",
-            one.remarks or EMPTY_CELL,
+            provenance.date,
+            provenance.commit,
+            f"{provenance.machine.cores} cores, {format_number(provenance.machine.memory_gib)} GiB, "
+            f"{provenance.machine.python}, {provenance.machine.system}",
+            provenance.remarks or EMPTY_CELL,
         )
-        for one in measured
+        for provenance in measured
     ]
     return markdown_table(("date", "commit", "machine", "remarks"), dict.fromkeys(rows))
 
 
 def assumption_table(assumptions: Assumptions) -> str:
-    """Everything that is assumed, with its reasons."""
+    """Table of all assumptions with their reasons."""
     counts = ", ".join(format_number(count) for count in assumptions.server_counts)
     rows = [("server counts", counts, "the operators do not tell how many")]
     for name, assumption in assumptions.single_values().items():
         unit, _ = unit_of(name)
-        ending = {"%": "pct"}.get(unit, name.rpartition("_")[2]) if unit else ""
-        title = name.removesuffix("_per_s").removesuffix(f"_{ending}").replace("_", " ")
+        suffix = {"%": "pct"}.get(unit, name.rpartition("_")[2]) if unit else ""
+        title = name.removesuffix("_per_s").removesuffix(f"_{suffix}").replace("_", " ")
         shown = assumptions.quantity(name)
         rows.append((title, shown.amount, assumption.reason))
     return markdown_table(("assumed", "value", "reason"), rows)
--- a/benchmarks/capacity/quantity.py
+++ b/benchmarks/capacity/quantity.py
@@ -1,4 +1,4 @@
-"""Quantities that know what they rest on: told by the operators, measured, extrapolated or assumed."""
+"""Quantities with a unit and a basis: specified, measured, extrapolated or assumed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 NOT_MEASURED = "not measured"
 
-# Multiples of a unit by which values are shown, the greatest first.
+# Scales in which values of a unit are shown, largest first.
 _SCALES: dict[str, tuple[tuple[float, str], ...]] = {
     "s": ((86_400.0, "days"), (3_600.0, "h"), (120.0, "min"), (1.0, "s"), (1e-3, "ms"), (1e-6, "us")),
     "B": ((1e12, "TB"), (1e9, "GB"), (1e6, "MB"), (1e3, "kB"), (1.0, "B")),
@@ -26,7 +26,7 @@
 
 
 class Basis(enum.IntEnum):
-    """What a figure rests on; of several the greatest, which is the weakest, counts."""
+    """How a value was obtained, from the strongest basis to the weakest."""
 
     SPECIFIED = 0
     MEASURED = 1
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, order=True)
 class MeasuredRange:
-    """The sizes of one input between which a series was measured."""
+    """The range of one input over which a series was measured."""
 
     series: str
     over: str
@@ -56,8 +56,8 @@
 class Quantity:
     """A value with its unit and basis.
 
-    Units are `s`, `B`, `B/s`, `/s`, `%` (of one core), `cores`, or a noun for a count. `value` is None where
-    series named in `missing` have not been measured. `ranges` are those beyond which it was extrapolated.
+    Units are `s`, `B`, `B/s`, `/s`, `%` (of one core), `cores`, or a plural noun for a count. `value` is None
+    if the series in `missing` have not been measured. `ranges` are the measured ranges that were exceeded.
     """
 
     value: float | None
@@ -68,16 +68,16 @@
 
     @property
     def mark(self) -> str:
-        """The basis as the page shows it, with the measured ranges of what was extrapolated."""
+        """The basis as shown on the page, with the measured ranges of extrapolated inputs."""
         letter = MARKS[self.basis]
         if not self.ranges:
             return letter
-        beyond = ", ".join(sorted({str(measured) for measured in self.ranges}))
-        return f"{letter}: {beyond}" if self.basis is Basis.EXTRAPOLATED else f"{letter}, x: {beyond}"
+        exceeded = ", ".join(sorted({str(measured) for measured in self.ranges}))
+        return f"{letter}: {exceeded}" if self.basis is Basis.EXTRAPOLATED else f"{letter}, x: {exceeded}"
 
     @property
     def short_mark(self) -> str:
-        """The mark without ranges, for tables that name them once."""
+        """The mark without ranges, for tables that list the ranges below."""
         letter = MARKS[self.basis]
         return f"{letter}, x" if self.ranges and self.basis is Basis.ASSUMED else letter
 
@@ -88,7 +88,7 @@
 
     @property
     def amount(self) -> str:
-        """The value with its unit, without the mark."""
+        """The value with its unit, without a mark."""
         if self.value is None:
             return NOT_MEASURED
         return format_value(self.value, self.unit)
@@ -98,57 +98,57 @@
 
 
 def specified(value: float, unit: str) -> Quantity:
-    """A figure of the operators' letter."""
+    """A value from the fleet's targets or from this program's own settings."""
     return Quantity(float(value), unit, Basis.SPECIFIED)
 
 
 def assumed(value: float, unit: str) -> Quantity:
-    """A figure of the table of assumptions."""
+    """A value from the table of assumptions."""
     return Quantity(float(value), unit, Basis.ASSUMED)
 
 
 def not_measured(series: str, unit: str) -> Quantity:
-    """A figure whose series is missing from the results."""
+    """A quantity without a value, whose series is missing from the results."""
     return Quantity(None, unit, Basis.MEASURED, missing=(series,))
 
 
 def derived(unit: str, function: Callable[..., float], *inputs: Quantity) -> Quantity:
-    """What `function` makes of the inputs' values; its basis is the weakest of theirs."""
-    missing = tuple(sorted({series for one in inputs for series in one.missing}))
-    ranges = tuple(sorted({measured for one in inputs for measured in one.ranges}))
-    basis = max((one.basis for one in inputs), default=Basis.SPECIFIED)
-    values = [one.value for one in inputs if one.value is not None]
+    """Apply `function` to the values of the inputs; the basis is the weakest basis among them."""
+    missing = tuple(sorted({series for quantity in inputs for series in quantity.missing}))
+    ranges = tuple(sorted({measured for quantity in inputs for measured in quantity.ranges}))
+    basis = max((quantity.basis for quantity in inputs), default=Basis.SPECIFIED)
+    values = [quantity.value for quantity in inputs if quantity.value is not None]
     if len(values) < len(inputs):
         return Quantity(None, unit, basis, ranges, missing)
     return Quantity(float(function(*values)), unit, basis, ranges, missing)
 
 
 def maximum(*inputs: Quantity) -> Quantity:
-    """The greatest of quantities of one unit."""
+    """The maximum of quantities of one unit; raises ValueError if units differ."""
     return derived(common_unit(*inputs), lambda *values: max(values), *inputs)
 
 
 def total(*inputs: Quantity) -> Quantity:
-    """The sum of quantities of one unit."""
+    """The sum of quantities of one unit; raises ValueError if units differ."""
     return derived(common_unit(*inputs), lambda *values: sum(values), *inputs)
 
 
 def multiple(quantity: Quantity, budget: Quantity) -> Quantity:
-    """How many times the budget a quantity is; raises ValueError where their units differ."""
+    """The ratio of a quantity to its budget; raises ValueError if units differ."""
     common_unit(quantity, budget)
-    return derived("times", lambda value, most: value / most, quantity, budget)
+    return derived("times", lambda value, limit: value / limit, quantity, budget)
 
 
 def common_unit(*inputs: Quantity) -> str:
-    """The unit that all inputs have; raises ValueError."""
-    units = {one.unit for one in inputs}
+    """The unit shared by all inputs; raises ValueError if units differ."""
+    units = {quantity.unit for quantity in inputs}
     if len(units) != 1:
         raise ValueError(f"quantities of different units: {', '.join(sorted(units))}")
     return units.pop()
 
 
 def format_number(value: float) -> str:
-    """Three significant digits, and whole numbers from 1,000 on with commas."""
+    """Format with three significant digits, or as an integer with commas from 1,000 upwards."""
     if value == 0.0:
         return "0"
     size = abs(value)
@@ -162,19 +162,19 @@
 
 
 def format_value(value: float, unit: str) -> str:
-    """A value in the multiple of its unit that suits its size."""
+    """Format a value in the scale of its unit that suits its magnitude."""
     scales = _SCALES.get(unit)
     if scales is None:
-        parted = "" if unit in ("%", "/s") else " "
-        return f"{format_number(value)}{parted}{_unit_noun(unit, value)}".rstrip()
-    scale, name = next((one for one in scales if abs(value) >= one[0]), (1.0, unit))
+        separator = "" if unit in ("%", "/s") else " "
+        return f"{format_number(value)}{separator}{_unit_noun(unit, value)}".rstrip()
+    scale, name = next((entry for entry in scales if abs(value) >= entry[0]), (1.0, unit))
     if name == "min":
         scale = _MINUTE_S
     return f"{format_number(value / scale)} {name}"
 
 
 def _unit_noun(unit: str, value: float) -> str:
-    """A unit that is a noun in the number of its value."""
+    """The noun of a unit, in the singular if the value is 1."""
     if value != 1.0:
         return unit
     return _SINGULAR_NOUNS.get(unit, unit.removesuffix("s"))
--- a/benchmarks/capacity/reconnecting.py
+++ b/benchmarks/capacity/reconnecting.py
@@ -1,4 +1,4 @@
-"""Clients that come back after a rack, a zone or a region is lost: how many, how fast, and by what jitter."""
+"""The role of reconnecting: clients that return after the loss of a rack, a zone or a region."""
 
 from __future__ import annotations
 
@@ -9,41 +9,41 @@
 from benchmarks.capacity.quantity import Quantity, derived, maximum, specified, total
 from benchmarks.capacity.roles import Mechanism, QuantityKind, Role, Row, Status
 
-HERD_WINDOW = specified(1.0, "s")  # in which clients without jitter come back
+HERD_WINDOW = specified(1.0, "s")  # clients without jitter return within this time
 
 
 @dataclass(frozen=True)
 class Loss:
-    """What goes at once, and what its clients cost the balancers that are left."""
+    """The loss of several balancers at once, and the load of its clients on the remaining ones."""
 
     name: str
-    clients: Quantity  # that come back
-    clients_per_balancer: Quantity  # of them, at a balancer that is left
-    connections_held: Quantity  # connections of such a balancer afterwards
-    plain_time: Quantity  # seconds until all are back
-    encrypted_time: Quantity  # the same with a full cryptographic handshake each
-    admission: Quantity  # connections a second that the fleet admits, with cryptography
-    jitter_window: Quantity  # full jitter over so long keeps arrivals within that rate
+    clients: Quantity  # that reconnect
+    clients_per_balancer: Quantity  # reconnecting to each remaining balancer
+    connections_held: Quantity  # per remaining balancer, once all have reconnected
+    plain_time: Quantity  # until all have reconnected
+    encrypted_time: Quantity  # until all have reconnected with a full cryptographic handshake
+    admission: Quantity  # connections per second that the fleet admits, with cryptography
+    jitter_window: Quantity  # full jitter over this time keeps arrivals within the admission rate
 
 
 def connection_cost(inputs: Inputs) -> Quantity:
-    """Processor time of one connection that comes: opened and placed by the side that clients speak to."""
-    standing = inputs.connections_per_process
-    placing = inputs.measured_at_quantity("module.place_own_groups", "standing", standing)
-    opening = inputs.measurements.unit_cost("data.connection_us", standing.value or 0.0)
+    """Processor time to accept and place one connection."""
+    connections = inputs.connections_per_process
+    placing = inputs.measured_at_quantity("module.place_own_groups", "standing", connections)
+    opening = inputs.measurements.unit_cost("data.connection_us", connections.value or 0.0)
     return total(opening, placing)
 
 
 def encrypted_cost(inputs: Inputs) -> Quantity:
-    """The same with a cryptographic handshake."""
+    """Processor time to accept and place one connection with a cryptographic handshake."""
     return total(connection_cost(inputs), inputs.assumed("cryptography_us"))
 
 
 def admission_rate(inputs: Inputs, cost: Quantity) -> Quantity:
-    """Connections a second that one balancer's processes may take, beside what they serve on."""
+    """Connections per second that one balancer may admit at this cost, besides serving existing ones."""
     return derived(
         "/s",
-        lambda part, processes, each: part / PERCENT * processes / each if each else math.inf,
+        lambda percent, processes, time: percent / PERCENT * processes / time if time else math.inf,
         inputs.assumed("return_core_pct"),
         inputs.processes_per_balancer,
         cost,
@@ -51,30 +51,42 @@
 
 
 def loss(inputs: Inputs, name: str, lost: Quantity) -> Loss:
-    """A loss of so many balancers at once."""
-    left = derived("balancers", lambda count, gone: count - gone, inputs.balancers, lost)
-    clients = derived("connections", lambda gone, each: gone * each, lost, inputs.connections_per_balancer)
-    each = derived("connections", lambda all_, parts: all_ / parts, clients, left)
-    plain = derived("s", time_for, each, admission_rate(inputs, connection_cost(inputs)))
+    """Compute the loss of a number of balancers at once."""
+    remaining = derived("balancers", lambda count, failed: count - failed, inputs.balancers, lost)
+    clients = derived(
+        "connections",
+        lambda failed, per_balancer: failed * per_balancer,
+        lost,
+        inputs.connections_per_balancer,
+    )
+    per_balancer = derived("connections", lambda total_, balancers: total_ / balancers, clients, remaining)
+    plain = derived("s", admission_time, per_balancer, admission_rate(inputs, connection_cost(inputs)))
     encrypted_rate = admission_rate(inputs, encrypted_cost(inputs))
-    encrypted = derived("s", time_for, each, encrypted_rate)
-    admission = derived("/s", lambda rate, parts: rate * parts, encrypted_rate, left)
+    encrypted = derived("s", admission_time, per_balancer, encrypted_rate)
+    admission = derived("/s", lambda rate, balancers: rate * balancers, encrypted_rate, remaining)
     window = maximum(encrypted, HERD_WINDOW)
     return Loss(
-        name, clients, each, total(inputs.connections_per_balancer, each), plain, encrypted, admission, window
+        name,
+        clients,
+        per_balancer,
+        total(inputs.connections_per_balancer, per_balancer),
+        plain,
+        encrypted,
+        admission,
+        window,
     )
 
 
-def time_for(count: float, rate: float) -> float:
+def admission_time(count: float, rate: float) -> float:
     return count / rate if rate else math.inf
 
 
 def losses(inputs: Inputs) -> list[Loss]:
-    """A rack, a zone and a region."""
+    """The losses of a rack, a zone and a region."""
     fleet = inputs.targets.fleet
     rack = derived(
         "balancers",
-        lambda count, most: min(count, most - 1.0),
+        lambda count, balancers: min(count, balancers - 1.0),
         inputs.assumed("machines_a_rack"),
         inputs.balancers,
     )
@@ -88,24 +100,24 @@
 
 
 def herd_rate(lost: Loss) -> Quantity:
-    """Connections a second at one balancer, where all clients come back at once."""
-    return derived("/s", lambda each, time: each / time, lost.clients_per_balancer, HERD_WINDOW)
+    """Connections per second at one balancer if all clients reconnect at once."""
+    return derived("/s", lambda clients, time: clients / time, lost.clients_per_balancer, HERD_WINDOW)
 
 
 def reconnecting(inputs: Inputs) -> Role:
-    """What a lost zone's clients cost each balancer that is left."""
+    """The role of reconnecting: load of a lost zone's clients on each remaining balancer."""
     zone = zone_loss(inputs)
-    within = inputs.assumed("return_within_s")
-    mean = derived("/s", lambda each, time: each / time, zone.clients_per_balancer, within)
-    rate = admission_rate(inputs, encrypted_cost(inputs))
+    deadline = inputs.assumed("return_within_s")
+    mean_rate = derived("/s", lambda each, time: each / time, zone.clients_per_balancer, deadline)
+    admitted_rate = admission_rate(inputs, encrypted_cost(inputs))
     memory = derived("B", lambda count, each: count * each, zone.connections_held, inputs.connection_memory)
     state = derived(
         "B", lambda count, each: count * each, zone.clients_per_balancer, inputs.connection_memory
     )
-    busy = derived("cores", lambda rate_, cost: rate_ * cost, mean, encrypted_cost(inputs))
-    spare = derived(
+    mean_cores = derived("cores", lambda rate_, cost: rate_ * cost, mean_rate, encrypted_cost(inputs))
+    core_budget = derived(
         "cores",
-        lambda part, parts: part / PERCENT * parts,
+        lambda percent, processes: percent / PERCENT * processes,
         inputs.assumed("return_core_pct"),
         inputs.processes_per_balancer,
     )
@@ -121,11 +133,11 @@
                 memory,
                 inputs.assumed("machine_memory_gb"),
             ),
-            Row(QuantityKind.MESSAGES, "connections, spread over the assumed time", mean, rate),
-            Row(QuantityKind.PEAK, "connections, all within a second", herd_rate(zone), rate),
-            Row(QuantityKind.PROCESSOR, "the spread ones, with cryptography", busy, spare),
-            Row(QuantityKind.TIME, "all back, no cryptography", zone.plain_time, within),
-            Row(QuantityKind.TIME, "all back, with cryptography", zone.encrypted_time, within),
+            Row(QuantityKind.MESSAGES, "connections, spread over the assumed time", mean_rate, admitted_rate),
+            Row(QuantityKind.PEAK, "connections, all within a second", herd_rate(zone), admitted_rate),
+            Row(QuantityKind.PROCESSOR, "the spread ones, with cryptography", mean_cores, core_budget),
+            Row(QuantityKind.TIME, "all back, no cryptography", zone.plain_time, deadline),
+            Row(QuantityKind.TIME, "all back, with cryptography", zone.encrypted_time, deadline),
             Row(
                 QuantityKind.TIME,
                 "arrivals of a lost zone in the decision module, each",
@@ -135,9 +147,9 @@
                 QuantityKind.TIME,
                 "the same, all of one balancer's",
                 zone_measured(inputs, "failure.zone_seconds"),
-                within,
+                deadline,
             ),
-            Row(QuantityKind.TIME, f"a restart, {inputs.server_counts[-1]:,} servers", restart(inputs)),
+            Row(QuantityKind.TIME, f"a restart, {inputs.server_counts[-1]:,} servers", restart_time(inputs)),
         ),
         (
             Mechanism(
@@ -162,19 +174,19 @@
 
 
 def zone_measured(inputs: Inputs, series: str) -> Quantity:
-    """A series of the module's arrivals after a lost zone, at a balancer's connections."""
-    standing = inputs.connections_per_balancer.value or 0.0
+    """A series of arrivals in the decision module after the loss of a zone."""
+    connections = inputs.connections_per_balancer.value or 0.0
     arrivals = zone_loss(inputs).clients_per_balancer.value or 0.0
-    return inputs.measurements.at(series, "standing", standing, arrivals=round(arrivals))
+    return inputs.measurements.at(series, "standing", connections, arrivals=round(arrivals))
 
 
-def restart(inputs: Inputs) -> Quantity:
-    """Until a restarted process is ready, with the most servers."""
+def restart_time(inputs: Inputs) -> Quantity:
+    """Time until a restarted process is ready, with the largest number of servers."""
     return inputs.measurements.at("failure.restart_s", "servers", inputs.server_counts[-1])
 
 
 def reconnecting_quantities(inputs: Inputs) -> dict[str, Quantity]:
-    """What the chapter on reconnecting quotes."""
+    """Quantities quoted in the chapter on reconnecting."""
     zone = zone_loss(inputs)
     return {
         "return.clients": zone.clients,
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -1,4 +1,4 @@
-"""What the model of a fleet consists of: roles with their quantities and mechanisms."""
+"""Types of the fleet model: roles with their quantities, budgets and mechanisms."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class QuantityKind(enum.Enum):
-    """What a quantity tells of its role."""
+    """Which resource or load of its role a quantity describes."""
 
     STATE = "state"
     MESSAGES = "messages, mean"
@@ -21,7 +21,7 @@
 
 
 class Status(enum.Enum):
-    """Whether a mechanism exists in this program."""
+    """Whether a mechanism is implemented in this program."""
 
     IMPLEMENTED = "runs here"
     PARTIAL = "is begun"
@@ -30,7 +30,7 @@
 
 
 class Remedy(enum.Enum):
-    """By what a quantity over its budget can be brought under it."""
+    """What it takes to bring a quantity that exceeds its budget under it."""
 
     THIS_PROGRAM = "this program, by the protocol it has"
     MORE_PROCESSES = "more processes of it"
@@ -41,23 +41,23 @@
 
 @dataclass(frozen=True)
 class Row:
-    """One quantity of a role, beside its budget where there is one."""
+    """One quantity of a role, with its budget if it has one."""
 
     kind: QuantityKind
     name: str
     quantity: Quantity
     budget: Quantity | None = None
-    servers: int | None = None  # where the quantity depends on their number
+    servers: int | None = None  # number of servers, if the quantity depends on it
 
     @property
     def multiple(self) -> Quantity | None:
-        """How many times its budget the quantity is."""
+        """The ratio of the quantity to its budget."""
         return None if self.budget is None else multiple(self.quantity, self.budget)
 
 
 @dataclass(frozen=True)
 class Mechanism:
-    """What carries a role, by its standard term."""
+    """A mechanism that a role relies on, by its standard term."""
 
     term: str
     status: Status
@@ -66,18 +66,18 @@
 
 @dataclass(frozen=True)
 class Role:
-    """One role of the fleet."""
+    """One role in the fleet, for example its list service."""
 
     key: str  # for example `lists`
     title: str
-    scope: str  # the sentence that says what the quantities are of
+    scope: str  # one sentence: which part of the fleet the quantities cover
     rows: tuple[Row, ...]
     mechanisms: tuple[Mechanism, ...]
 
 
 @dataclass(frozen=True)
 class RankedQuantity:
-    """One quantity by today's mechanism, for the order in which missing ones are built."""
+    """A quantity with today's mechanism, compared with its budget and with a way to reduce it."""
 
     name: str
     quantity: Quantity
@@ -87,5 +87,5 @@
 
     @property
     def multiple(self) -> Quantity:
-        """How many times its budget the quantity is."""
+        """The ratio of the quantity to its budget."""
         return multiple(self.quantity, self.budget)
--- a/benchmarks/capacity/shards.py
+++ b/benchmarks/capacity/shards.py
@@ -1,4 +1,4 @@
-"""The holder of shards to servers: who serves which of millions of shards, and how balancers learn of it."""
+"""The role of the shard directory: which server owns each shard, and how balancers look it up."""
 
 from __future__ import annotations
 
@@ -11,83 +11,85 @@
 from benchmarks.capacity.roles import Mechanism, QuantityKind, Role, Row, Status
 
 REPLICAS = specified(3.0, "replicas")
-SERVER_INDEX = specified(2.0, "B")  # a slot's server as a number below 65,536
+SERVER_INDEX = specified(2.0, "B")  # a server as a 16-bit number
 SLOT_CHANGE = specified(8.0, "B")  # slot, server and version
 
 
 def table_bytes(inputs: Inputs) -> Quantity:
-    """All shards as compact entries."""
-    return derived("B", lambda count, size: count * size, shards(inputs), inputs.assumed("shard_entry_bytes"))
+    """Size of a table of all shards, in bytes."""
+    return derived(
+        "B", lambda count, size: count * size, shard_count(inputs), inputs.assumed("shard_entry_bytes")
+    )
 
 
-def shards(inputs: Inputs) -> Quantity:
+def shard_count(inputs: Inputs) -> Quantity:
     return specified(inputs.targets.fleet.shards, "shards")
 
 
 def memory_as_servers(inputs: Inputs) -> Quantity:
-    """A process that holds all shards as it holds servers today."""
+    """Memory of a process that keeps every shard as it keeps servers today, in bytes."""
     return control_memory(inputs, inputs.targets.fleet.shards)
 
 
 def machine_changes_per_s(inputs: Inputs) -> Quantity:
-    """Machines that fail, restart or are replaced, a second."""
+    """Machines that fail, restart or are replaced, per second."""
     failures = inputs.targets.failures
     return specified((failures.machines_per_day + failures.restarts_per_day) / DAY_S, "/s")
 
 
 def shard_moves(inputs: Inputs, servers: int) -> Quantity:
-    """Shards a second that get another owner, if each such machine is a server and gives its shards away."""
-    each = derived(
-        "shards", lambda count, owners: count / owners, shards(inputs), assumed(servers, "servers")
+    """Shards that change owner per second if all changing machines are servers that lose their shards."""
+    shards_per_server = derived(
+        "shards", lambda count, servers_: count / servers_, shard_count(inputs), assumed(servers, "servers")
     )
-    return derived("/s", lambda rate, count: rate * count, machine_changes_per_s(inputs), each)
+    return derived("/s", lambda rate, count: rate * count, machine_changes_per_s(inputs), shards_per_server)
 
 
 def zone_moves(inputs: Inputs) -> Quantity:
-    """Shards a second whose new owner is told after a zone is lost, all within the time for a change."""
+    """Shards per second that must be announced after the loss of a zone to meet the change deadline."""
     return derived(
         "/s",
-        lambda count, zones, within: count / zones / within,
-        shards(inputs),
+        lambda count, zones, deadline: count / zones / deadline,
+        shard_count(inputs),
         inputs.zones,
         inputs.change_deadline,
     )
 
 
 def lookup_bytes(inputs: Inputs) -> Quantity:
-    """Bytes of one lookup: a key, and an entry back."""
+    """Size of one lookup, request and answer, in bytes."""
     return derived("B", lambda size: 2.0 * size, inputs.assumed("shard_entry_bytes"))
 
 
 @dataclass(frozen=True)
 class LookupOption:
-    """One way in which a balancer learns who serves a shard."""
+    """One way for a balancer to look up the owner of a shard."""
 
     name: str
-    state: Quantity  # of a balancer
-    mean_rate: Quantity  # bytes a second of a balancer
-    zone_loss_time: Quantity  # seconds of the whole budget of bytes that a lost zone's news takes
-    age: str
+    state: Quantity  # per balancer, in bytes
+    mean_rate: Quantity  # bytes per second and balancer
+    zone_loss_time: Quantity  # to announce the loss of a zone at the full bandwidth budget
+    age: str  # staleness of the answers
     verdict: str
 
 
 def lookup_options(inputs: Inputs) -> list[LookupOption]:
-    """The ways weighed, with the fewest servers, which is the worst case for moves."""
-    few = inputs.server_counts[0]
-    change = inputs.assumed("shard_entry_bytes")
+    """The options considered, with the fewest servers, which is the worst case for moves."""
+    min_servers = inputs.server_counts[0]
+    entry_bytes = inputs.assumed("shard_entry_bytes")
     return [
         LookupOption(
             "the whole table by a watch",
             table_bytes(inputs),
-            byte_rate(shard_moves(inputs, few), change),
-            time_in_budget(inputs, zone_change_bytes(inputs, shards(inputs), change)),
+            byte_rate(shard_moves(inputs, min_servers), entry_bytes),
+            time_in_budget(inputs, zone_change_bytes(inputs, shard_count(inputs), entry_bytes)),
             "as the list",
             "does not fit",
         ),
         LookupOption(
             "lookup on demand, entries cached under leases that are renewed",
             inputs.assumed("shard_cache_mb"),
-            renewals(inputs),
+            renewal_bytes(inputs),
             time_in_budget(inputs, specified(0.0, "B")),
             "a lease",
             "renewing costs more than all else: renew at use only",
@@ -110,8 +112,8 @@
         ),
         LookupOption(
             "shards hashed to slots, slots assigned to servers, a table of exceptions",
-            total(slot_table(inputs), exceptions(inputs)),
-            byte_rate(slot_moves(inputs, few), SLOT_CHANGE),
+            total(slot_table_bytes(inputs), exceptions_bytes(inputs)),
+            byte_rate(slot_moves(inputs, min_servers), SLOT_CHANGE),
             time_in_budget(inputs, zone_change_bytes(inputs, inputs.assumed("shard_slots"), SLOT_CHANGE)),
             "as the server list",
             "fits; taken for the plan, with lookups for what is neither",
@@ -119,14 +121,17 @@
     ]
 
 
-def slot_table(inputs: Inputs) -> Quantity:
+def slot_table_bytes(inputs: Inputs) -> Quantity:
     return derived("B", lambda count, size: count * size, inputs.assumed("shard_slots"), SERVER_INDEX)
 
 
-def exceptions(inputs: Inputs) -> Quantity:
-    """The shards that stand elsewhere than their hash says."""
+def exceptions_bytes(inputs: Inputs) -> Quantity:
+    """Size of the table of shards placed elsewhere than their hash says, in bytes."""
     return derived(
-        "B", lambda part, whole: whole * part / PERCENT, inputs.assumed("exceptions_pct"), table_bytes(inputs)
+        "B",
+        lambda percent, size: size * percent / PERCENT,
+        inputs.assumed("exceptions_pct"),
+        table_bytes(inputs),
     )
 
 
@@ -139,8 +144,8 @@
     )
 
 
-def renewals(inputs: Inputs) -> Quantity:
-    """Bytes a second, where a full cache renews each lease before its end."""
+def renewal_bytes(inputs: Inputs) -> Quantity:
+    """Bytes per second and balancer if a full cache renews every lease before it expires."""
     return derived(
         "B/s",
         lambda cache, entry, lease, call: cache / entry / lease * call,
@@ -152,26 +157,28 @@
 
 
 def byte_rate(rate: Quantity, size: Quantity) -> Quantity:
-    return derived("B/s", lambda often, each: often * each, rate, size)
+    return derived("B/s", lambda count, size_each: count * size_each, rate, size)
 
 
 def zone_change_bytes(inputs: Inputs, count: Quantity, size: Quantity) -> Quantity:
-    """Bytes that tell a balancer the new owners of what a lost zone had."""
-    return derived("B", lambda all_, zones, each: all_ / zones * each, count, inputs.zones, size)
+    """Bytes needed to announce the new owners of a lost zone's entries to one balancer."""
+    return derived(
+        "B", lambda total_, zones, size_each: total_ / zones * size_each, count, inputs.zones, size
+    )
 
 
 def time_in_budget(inputs: Inputs, size: Quantity) -> Quantity:
-    """How long a balancer's whole budget of bytes takes for it."""
-    return derived("s", lambda news, rate: news / rate, size, inputs.bytes_budget)
+    """Time to transfer a size at a balancer's full bandwidth budget."""
+    return derived("s", lambda total_bytes, rate: total_bytes / rate, size, inputs.bytes_budget)
 
 
-def holder(inputs: Inputs) -> Role:
-    """The table of shards where it is held, and what balancers ask of it."""
-    few, many = inputs.server_counts[0], inputs.server_counts[-1]
+def shard_directory(inputs: Inputs) -> Role:
+    """The role of the shard directory: its size, and the lookups of all balancers."""
+    min_servers, max_servers = inputs.server_counts[0], inputs.server_counts[-1]
     lookups = derived(
         "/s", lambda rate, count: rate * count, inputs.assumed("shards_asked_per_s"), inputs.balancers
     )
-    share = inputs.per_control_machine(
+    bytes_per_machine = inputs.per_control_machine(
         derived("B", lambda size, replicas: size * replicas, table_bytes(inputs), REPLICAS)
     )
     lookup_core = derived(
@@ -200,11 +207,19 @@
             Row(
                 QuantityKind.MEMORY,
                 f"a control machine's part, {REPLICAS.value:.0f} replicas",
-                share,
+                bytes_per_machine,
                 inputs.assumed("machine_memory_gb"),
             ),
-            Row(QuantityKind.MESSAGES, f"moved shards, {few:,} servers", shard_moves(inputs, few)),
-            Row(QuantityKind.MESSAGES, f"moved shards, {many:,} servers", shard_moves(inputs, many)),
+            Row(
+                QuantityKind.MESSAGES,
+                f"moved shards, {min_servers:,} servers",
+                shard_moves(inputs, min_servers),
+            ),
+            Row(
+                QuantityKind.MESSAGES,
+                f"moved shards, {max_servers:,} servers",
+                shard_moves(inputs, max_servers),
+            ),
             Row(QuantityKind.MESSAGES, "lookups, all balancers", lookups),
             Row(QuantityKind.PEAK, "shards of a lost zone, within the told time", zone_moves(inputs)),
             Row(
@@ -242,16 +257,18 @@
 
 
 def shard_quantities(inputs: Inputs) -> dict[str, Quantity]:
-    """What the chapter on shards quotes."""
+    """Quantities quoted in the chapter on shards."""
     return {
         "shards.entries": table_bytes(inputs),
         "shards.as_servers": memory_as_servers(inputs),
         "shards.budget": inputs.memory_budget,
-        "shards.slots": slot_table(inputs),
-        "shards.exceptions": exceptions(inputs),
-        "shards.renewals": renewals(inputs),
+        "shards.slots": slot_table_bytes(inputs),
+        "shards.exceptions": exceptions_bytes(inputs),
+        "shards.renewals": renewal_bytes(inputs),
         "shards.lookups_in_budget": derived(
             "/s", lambda rate, size: rate / size, inputs.bytes_budget, lookup_bytes(inputs)
         ),
-        "shards.zone": derived("shards", lambda count, zones: count / zones, shards(inputs), inputs.zones),
+        "shards.zone": derived(
+            "shards", lambda count, zones: count / zones, shard_count(inputs), inputs.zones
+        ),
     }
--- a/benchmarks/capacity/targets.py
+++ b/benchmarks/capacity/targets.py
@@ -1,4 +1,4 @@
-"""A fleet's targets and the page's assumptions, typed, from a TOML file."""
+"""A fleet's targets and the assumptions of the capacity model, read from a TOML file."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Fleet(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the fleet is to carry."""
+    """The size of the fleet and its load."""
 
     balancers: Count
     connections: Count
@@ -29,30 +29,30 @@
     largest_topic_listeners: Count
     deliveries_per_s: Positive
     delivery_within_ms: Positive
-    delivery_part: Fraction  # of the deliveries, within that time
+    delivery_part: Fraction  # fraction of deliveries within delivery_within_ms
     regions: Count
     zones: Count
 
 
 class Changes(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Changes of configuration."""
+    """Rate of configuration changes and the deadline for them to take effect."""
 
     per_day: Positive
     in_force_within_s: Positive
-    bursts: Annotated[list[Count], msgspec.Meta(min_length=1)]  # changes that come together
+    bursts: Annotated[list[Count], msgspec.Meta(min_length=1)]  # numbers of simultaneous changes
 
 
 class ControlBudget(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What control may cost: a balancer's part, and the machines set aside for it."""
+    """Resource budget for control: per balancer, and the dedicated machines of the fleet."""
 
-    core_pct: Positive  # of one core
+    core_pct: Positive  # percent of one core
     memory_mb: Positive
     bytes_per_s: Positive
     machines: Count
 
 
 class Failures(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What fails on an ordinary day, and for how long regions lose each other."""
+    """Expected failures per day, and the duration of a network partition between regions."""
 
     machines_per_day: Positive
     restarts_per_day: Positive
@@ -60,14 +60,14 @@
 
 
 class Assumption(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A figure that nobody has told or measured, and why it was taken."""
+    """A value that is neither specified nor measured, with the reason for it."""
 
     value: Positive
     reason: Annotated[str, msgspec.Meta(min_length=1)]
 
 
 class Assumptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Everything assumed. The end of a name is its unit; a name without one is a count."""
+    """All assumptions. The suffix of a name is its unit; a name without one is a count or a ratio."""
 
     server_counts: Annotated[list[Count], msgspec.Meta(min_length=1)]
     list_service_ms: Assumption
@@ -98,18 +98,18 @@
     exceptions_pct: Assumption
 
     def single_values(self) -> dict[str, Assumption]:
-        """All but the numbers of servers, by name, in their order."""
+        """All assumptions with a single value by name, in declaration order."""
         fields = {name: getattr(self, name) for name in self.__struct_fields__}
         return {name: value for name, value in fields.items() if isinstance(value, Assumption)}
 
     def quantity(self, name: str) -> Quantity:
-        """An assumption in the page's units."""
+        """An assumption converted to the units of the page."""
         unit, scale = unit_of(name)
         return assumed(self.single_values()[name].value * scale, unit)
 
 
 class Targets(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One fleet: a file of targets."""
+    """One fleet: the contents of a targets file."""
 
     fleet: Fleet
     changes: Changes
@@ -118,7 +118,7 @@
     assumed: Assumptions
 
 
-# The end of an assumption's name: the unit of its quantity, and by how much a value is multiplied for it.
+# Suffix of an assumption's name: the unit of its quantity, and the factor that converts to it.
 _UNITS = {
     "_per_s": ("/s", 1.0),
     "_bytes": ("B", 1.0),
@@ -132,15 +132,15 @@
 
 
 def unit_of(name: str) -> tuple[str, float]:
-    """The unit that the end of a name says, and the factor from the name's own unit to it."""
-    for ending, unit in _UNITS.items():
-        if name.endswith(ending):
+    """The unit for the suffix of a name, and the factor that converts a value to it."""
+    for suffix, unit in _UNITS.items():
+        if name.endswith(suffix):
             return unit
     return "", 1.0
 
 
 def read_targets(path: Path) -> Targets:
-    """The targets that a file holds; raises BadRecord with the place and the value that are wrong."""
+    """Read a targets file; raises BadRecord with the place and the invalid value."""
     try:
         text = path.read_bytes().decode()
     except OSError as exc:
@@ -151,14 +151,14 @@
 
 
 def parse_targets(text: str, name: str) -> Targets:
-    """The targets that a file of this name holds; raises BadRecord."""
+    """Parse the text of a targets file; raises BadRecord. `name` is the file name for messages."""
     try:
         plain = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError) as exc:
         raise BadRecord(f"{name}: not TOML: {exc}") from None
     for place, value in numbers_in(plain, "$"):
         if not math.isfinite(value):
-            raise BadRecord(f"{name}: {place}: {value} is no finite number")
+            raise BadRecord(f"{name}: {place}: {value} is not a finite number")
     try:
         targets = msgspec.convert(plain, Targets)
     except msgspec.ValidationError as exc:
@@ -168,22 +168,22 @@
 
 
 def _check_together(targets: Targets, name: str) -> None:
-    """What single values cannot show; raises BadRecord."""
+    """Check constraints between values; raises BadRecord."""
     fleet = targets.fleet
     counts = targets.assumed.server_counts
-    wrong: list[tuple[bool, str, Any, str]] = [
+    checks: list[tuple[bool, str, Any, str]] = [
         (fleet.zones < fleet.regions, "fleet.zones", fleet.zones, "fewer than regions"),
         (fleet.balancers < fleet.zones, "fleet.balancers", fleet.balancers, "fewer than zones"),
-        (fleet.zones < 2, "fleet.zones", fleet.zones, "none is left when one is lost"),
-        (fleet.regions < 2, "fleet.regions", fleet.regions, "none is left when one is lost"),
+        (fleet.zones < 2, "fleet.zones", fleet.zones, "a loss leaves none"),
+        (fleet.regions < 2, "fleet.regions", fleet.regions, "a loss leaves none"),
         (
             fleet.largest_topic_listeners > fleet.connections,
             "fleet.largest_topic_listeners",
             fleet.largest_topic_listeners,
             "more than connections",
         ),
-        (counts != sorted(set(counts)), "assumed.server_counts", counts, "not in rising order"),
+        (counts != sorted(set(counts)), "assumed.server_counts", counts, "not in ascending order"),
     ]
-    for is_wrong, place, value, reason in wrong:
+    for is_wrong, place, value, reason in checks:
         if is_wrong:
             raise BadRecord(f"{name}: $.{place}: {value}: {reason}")
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,6 +1,6 @@
-"""The page of capacity: it is what results and targets say, and its figures tell what they rest on.
+"""Guards against a capacity page that differs from results and targets, or hides how a value was obtained.
 
-All results here are made up, and none of them reaches the page: series of straight lines with easy numbers.
+Results are synthetic: every series is a straight line.
 """
 
 from __future__ import annotations
@@ -41,9 +41,9 @@
 )
 
 TEXT = TARGETS.read_text(encoding="utf-8")
-LOW, HIGH = 100.0, 10_000.0  # the made-up measured range of each input
+LOW, HIGH = 100.0, 10_000.0  # the measured range of each synthetic input
 UNITS = {"s": "ms", "B": "KiB", "%": "%", "B/s": "B/s", "/s": "/s"}
-# The inputs that vary, with those that stand still, as `make bench-scale` has them.
+# Each input that varies, with the constant ones, as in `make bench-scale`.
 VARIED: dict[str, dict[str, float]] = {
     "servers": {"standing": 0.0},
     "standing": {"servers": 1_000.0},
@@ -61,8 +61,8 @@
 
 
 @functools.cache
-def made_up(left_out: str = "", at_zero: float = 0.01, slope: float = 1e-5) -> SlopeResults:
-    """Every series as a straight line over every input."""
+def synthetic_results(left_out: str = "", intercept: float = 0.01, slope: float = 1e-5) -> SlopeResults:
+    """Results with every series as a straight line over every input."""
     points, fits = [], []
     for series, kind in SERIES.items():
         if series == left_out:
@@ -71,9 +71,11 @@
         control = series.startswith("control.") and "standing" not in series
         for over, fixed in (CONTROL if control else VARIED).items():
             sizes = RATES if over == "changes_per_s" else (LOW, 1_000.0, HIGH)
-            points += [Point(series, unit, {over: size, **fixed}, [at_zero + slope * size]) for size in sizes]
+            points += [
+                Point(series, unit, {over: size, **fixed}, [intercept + slope * size]) for size in sizes
+            ]
             fits.append(
-                Fit(series, unit, over, fixed, slope, at_zero, 0.0, sizes[0], sizes[-1], 1, slope, slope)
+                Fit(series, unit, over, fixed, slope, intercept, 0.0, sizes[0], sizes[-1], 1, slope, slope)
             )
     return SlopeResults(SCHEMA, [MEASURED], points, fits)
 
@@ -82,8 +84,8 @@
     return Told(7_500, 1, seconds, seconds, seconds, 0)
 
 
-def run(relays: int, held: bool = True) -> ScaleRun:
-    """A made-up run."""
+def synthetic_run(relays: int, held: bool = True) -> ScaleRun:
+    """A run with the given number of relays."""
     return ScaleRun(
         "made-up", MEASURED, 7_500, 24, 20, relays, 1_000, 1, 60.0, held, 10.0, 1, 2.0, 3.0, 4.0, 5.0,
         notified_within(0.75), notified_within(0.85), 0.25, 350.0, 0.1, 200.0, 0.2, 33.0,
@@ -91,32 +93,32 @@
 
 
 def changed(name: str, value: str, text: str = TEXT) -> str:
-    """The targets with another value; `name` as it stands at the start of a line."""
+    """The text of the targets with another value for the first key `name`."""
     found, count = re.subn(rf"(?m)^{re.escape(name)} = [^#\n]*", f"{name} = {value} ", text, count=1)
     assert count == 1
     return found
 
 
-def full(targets: Targets | None = None, results: SlopeResults | None = None) -> Capacity:
-    return compute_capacity(targets or read_targets(TARGETS), results or made_up(), None)
+def full_capacity(targets: Targets | None = None, results: SlopeResults | None = None) -> Capacity:
+    return compute_capacity(targets or read_targets(TARGETS), results or synthetic_results(), None)
 
 
 # The page
 
 
 def test_the_committed_page_is_what_results_and_targets_say() -> None:
-    """Fails when page, results or targets differ: `make capacity` computes the page anew."""
+    """Guards against a stale page; `make capacity` regenerates it."""
     assert render(compute(TARGETS, SLOPES, RUNS)) == PAGE.read_text(encoding="utf-8")
 
 
 @pytest.mark.parametrize("name", ["balancers", "per_day", "core_pct", "machines", "apart_s", "server_counts"])
 def test_another_target_makes_another_page(name: str) -> None:
     other = parse_targets(changed(name, "[1_000, 2_000]" if name == "server_counts" else "100"), "other.toml")
-    assert render(full(other)) != render(full())
+    assert render(full_capacity(other)) != render(full_capacity())
 
 
 def test_another_slope_makes_another_page() -> None:
-    assert render(full(results=made_up(slope=2e-5))) != render(full())
+    assert render(full_capacity(results=synthetic_results(slope=2e-5))) != render(full_capacity())
 
 
 def test_a_page_without_results_says_not_measured_and_names_every_series() -> None:
@@ -129,28 +131,29 @@
 
 
 @pytest.mark.parametrize("series", SERIES)
-def test_one_missing_series_is_told_and_the_rest_is_measured(series: str) -> None:
-    without = full(results=made_up(left_out=series))
+def test_one_missing_series_is_reported_and_the_rest_is_measured(series: str) -> None:
+    without = full_capacity(results=synthetic_results(left_out=series))
     assert {one.split(" by ")[0] for one in without.missing} == {series}
     assert f"Not measured yet**, and called so wherever it is needed: {series}" in render(without)
 
 
 def test_a_page_with_all_series_says_nowhere_that_one_is_missing() -> None:
-    assert full().missing == []
+    assert full_capacity().missing == []
     assert (
-        "not measured (" not in render(full()) and "| not measured |" not in render(full()).split("## The")[1]
+        "not measured (" not in render(full_capacity())
+        and "| not measured |" not in render(full_capacity()).split("## The")[1]
     )
 
 
 def test_every_figure_of_a_role_says_what_it_rests_on() -> None:
     mark = re.compile(r"\((t|m|a|x: [^()]+|a, x: [^()]+)\)$")
-    for role in full().roles:
+    for role in full_capacity().roles:
         for row in role.rows:
             assert mark.search(str(row.quantity)), row.name
 
 
-def test_each_role_tells_state_messages_processor_time_and_memory() -> None:
-    for role in full().roles:
+def test_each_role_covers_state_messages_processor_time_and_memory() -> None:
+    for role in full_capacity().roles:
         assert {row.kind for row in role.rows} >= {
             QuantityKind.STATE,
             QuantityKind.MESSAGES,
@@ -161,13 +164,17 @@
         assert {mechanism.status for mechanism in role.mechanisms} <= set(Status)
 
 
-def test_runs_stand_on_the_page_and_tell_whether_relays_run_here() -> None:
+def test_runs_are_shown_on_the_page_with_the_status_of_relays() -> None:
     targets = read_targets(TARGETS)
     for relays, held, status in ((0, True, None), (6, False, None), (6, True, Status.IMPLEMENTED)):
-        shown = compute_capacity(targets, made_up(), RunResults(SCHEMA, [run(relays, held)]))
-        found = {one.term: one.status for role in shown.roles for one in role.mechanisms}[RELAY_MECHANISM]
+        computed = compute_capacity(
+            targets, synthetic_results(), RunResults(SCHEMA, [synthetic_run(relays, held)])
+        )
+        found = {
+            mechanism.term: mechanism.status for role in computed.roles for mechanism in role.mechanisms
+        }[RELAY_MECHANISM]
         assert (found is Status.IMPLEMENTED) == (status is Status.IMPLEMENTED)
-        page = render(shown)
+        page = render(computed)
         assert f"| made-up | {relays} | 7,500 | 20 | 24 | 1,000 | 10 ms | 0.75 s |" in page
         assert f"| 0.85 s | yes | {'yes' if held else '**no**'} |" in page
 
@@ -175,7 +182,7 @@
 def test_a_run_that_was_late_or_missed_somebody_says_no() -> None:
     late, missed = notified_within(3.1), Told(7_500, 1, 0.1, 0.1, 0.1, 1)
     for found in (late, missed):
-        other = msgspec.structs.replace(run(6), told_real=found)
+        other = msgspec.structs.replace(synthetic_run(6), told_real=found)
         page = render(compute_capacity(read_targets(TARGETS), None, RunResults(SCHEMA, [other])))
         assert f"| {found.last_s:g} s | **no** | yes |" in page
 
@@ -194,7 +201,7 @@
 
 def test_the_command_prints_what_is_not_measured(tmp_path: Path) -> None:
     slopes, page = tmp_path / "slopes.json", tmp_path / "page.md"
-    write(slopes, made_up(left_out="data.line_us"))
+    write(slopes, synthetic_results(left_out="data.line_us"))
     result = CliRunner().invoke(main, ["--slopes", str(slopes), "--page", str(page)])
     assert result.exit_code == 0 and "not measured: data.line_us\n" in result.output
 
@@ -252,7 +259,7 @@
 
 @given(st.floats(1.0, 1e7), st.floats(1.0, 1e7))
 def test_a_measured_line_rises_with_size_and_says_where_it_was_measured(one: float, other: float) -> None:
-    measured = Measurements(made_up())
+    measured = Measurements(synthetic_results())
     small, great = (measured.at("module.one_change", "servers", size) for size in sorted((one, other)))
     assert small.value is not None and great.value is not None and small.value <= great.value
     for size, found in zip(sorted((one, other)), (small, great), strict=True):
@@ -274,7 +281,7 @@
 
 
 def test_a_cost_that_falls_with_size_counts_as_flat_beyond_the_range() -> None:
-    falling = made_up(at_zero=1.0, slope=-5e-5)
+    falling = synthetic_results(intercept=1.0, slope=-5e-5)
     found = Measurements(falling).at("failure.restart_s", "servers", 16_000.0)
     assert found.value == pytest.approx(0.5e-3) and found.basis is Basis.EXTRAPOLATED
 
@@ -328,7 +335,7 @@
         ),
         changes=msgspec.structs.replace(daily, per_day=daily.per_day * changes),
     )
-    small, great = full(targets), full(grown)
+    small, great = full_capacity(targets), full_capacity(grown)
     for before, after in zip(small.roles, great.roles, strict=True):
         for one, other in zip(before.rows, after.rows, strict=True):
             assert one.quantity.value is not None and other.quantity.value is not None
@@ -342,7 +349,7 @@
 def test_more_balancers_ask_the_list_service_more(factor: float) -> None:
     targets = read_targets(TARGETS)
     fleet = msgspec.structs.replace(targets.fleet, balancers=int(targets.fleet.balancers * factor))
-    small, great = full(targets), full(msgspec.structs.replace(targets, fleet=fleet))
+    small, great = full_capacity(targets), full_capacity(msgspec.structs.replace(targets, fleet=fleet))
     for name in ("lists.idle_calls", "lists.direct_time", "lists.whole_all", "configuration.direct"):
         assert (great.named_quantities[name].value or 0.0) >= (small.named_quantities[name].value or 0.0)
 
@@ -350,8 +357,8 @@
 @settings(max_examples=25, deadline=None)
 @given(st.data())
 def test_any_fleet_gets_a_whole_page(data: st.DataObject) -> None:
-    def count(least: int, most: int) -> int:
-        return data.draw(st.integers(least, most))
+    def count(minimum: int, maximum: int) -> int:
+        return data.draw(st.integers(minimum, maximum))
 
     targets = read_targets(TARGETS)
     regions = count(2, 12)
@@ -369,12 +376,12 @@
         zones=zones,
     )
     budget = msgspec.structs.replace(targets.budget, machines=count(1, 200))
-    page = render(full(msgspec.structs.replace(targets, fleet=fleet, budget=budget)))
+    page = render(full_capacity(msgspec.structs.replace(targets, fleet=fleet, budget=budget)))
     assert "nan" not in page and "None" not in page and "inf " not in page
 
 
 def test_multiples_are_quantities_over_budgets_of_the_same_unit() -> None:
-    computed = full()
+    computed = full_capacity()
     rows = [(row.quantity, row.budget) for role in computed.roles for row in role.rows if row.budget]
     rows += [(entry.quantity, entry.budget) for entry in computed.ranking]
     for quantity, budget in rows:
@@ -391,9 +398,9 @@
     assert derived("s", lambda *values: sum(values), *inputs).basis is max(bases)
 
 
-def test_the_letter_by_arithmetic() -> None:
-    """The operators' own figures: 1,875 calls a second idle, 75 s a change, 60,000 and 18,700 a balancer."""
-    named_quantities = full().named_quantities
+def test_targets_by_arithmetic() -> None:
+    """Checks the model against values that follow from the committed targets by hand."""
+    named_quantities = full_capacity().named_quantities
     shown = [
         named_quantities[name].amount
         for name in ("lists.idle_calls", "lists.direct_time", "data.connections_each", "data.deliveries_each")
@@ -402,8 +409,8 @@
 
 
 def test_the_tree_reaches_every_process_and_its_hops_add_up() -> None:
-    computed = full()
-    inputs = Inputs(computed.targets, Measurements(made_up()))
+    computed = full_capacity()
+    inputs = Inputs(computed.targets, Measurements(synthetic_results()))
     inside = [hop for hop in computed.hops if hop.name.startswith("inside a zone")]
     reached = inside[-1].nodes.value or 0.0
     processes = (inputs.processes_per_balancer.value or 0.0) * computed.targets.fleet.balancers
@@ -417,19 +424,23 @@
 
 @pytest.mark.parametrize(("part", "used", "hops", "waits"), [(0.99, 0.6, 1, 4.094), (0.99, 1.0, 2, 6.638)])
 def test_queues_by_known_quantiles(part: float, used: float, hops: int, waits: float) -> None:
-    """One M/M/1 queue: ln(0.6 / 0.01); two that always wait: half of chi squared with 4 degrees, 13.277."""
+    """One M/M/1 queue: ln(0.6 / 0.01). Two that always wait: half of the chi-squared quantile, 13.277 / 2."""
     assert queueing_quantile(part, used, hops) == pytest.approx(waits, abs=0.001)
 
 
 def test_ranking_puts_first_what_the_program_can_carry() -> None:
-    for results in (made_up(), made_up(at_zero=1e-6, slope=1e-9), made_up(left_out="data.line_us")):
-        computed = full(results=results)
+    for results in (
+        synthetic_results(),
+        synthetic_results(intercept=1e-6, slope=1e-9),
+        synthetic_results(left_out="data.line_us"),
+    ):
+        computed = full_capacity(results=results)
         multiples = [entry.multiple.value for entry in computed.ranking]
         known = [one for one in multiples if one is not None]
         assert known == sorted(known, reverse=True) and multiples[: len(known)] == known
-        built = computed.first_to_build
+        first = computed.first_to_build
         assert (
-            built is not None and built.remedy is Remedy.THIS_PROGRAM and (built.multiple.value or 0.0) > 1.0
+            first is not None and first.remedy is Remedy.THIS_PROGRAM and (first.multiple.value or 0.0) > 1.0
         )
         assert all(entry.remedy is not Remedy.THIS_PROGRAM for entry in computed.ranked_above_first)
 
