--- a/benchmarks/capacity/balancer.py
+++ b/benchmarks/capacity/balancer.py
@@ -86,7 +86,9 @@
             idle_core,
             inputs.core_budget,
         ),
-        Row(QuantityKind.PROCESSOR, "a process's part of them at rest", idle_per_process, inputs.core_budget),
+        Row(
+            QuantityKind.PROCESSOR, "a process's share of them at rest", idle_per_process, inputs.core_budget
+        ),
         Row(
             QuantityKind.PROCESSOR,
             "all processes, connections at rest",
@@ -96,7 +98,7 @@
         Row(QuantityKind.PROCESSOR, f"one timer of {connections:,.0f}", timers),
         Row(
             QuantityKind.PROCESSOR,
-            f"placing once, {inputs.targets.fleet.balancers:,} balancers told",
+            f"placing once, {inputs.targets.fleet.balancers:,} balancers in the list",
             by_balancers,
         ),
     ]
@@ -106,11 +108,13 @@
         "Quantities are of a balancer.",
         tuple(rows),
         (
-            Mechanism("watch of the server list by long polling", Status.IMPLEMENTED, "`machines/discovery`"),
+            Mechanism(
+                "watch of the server list by long polling", Status.IMPLEMENTED, "`server_list/discovery`"
+            ),
             Mechanism(
                 "bounded staleness of the list",
                 Status.IMPLEMENTED,
-                "6 s, whatever calls fail; `docs/design-ends.md`",
+                "6 s, even if calls fail; `docs/design-ends.md`",
             ),
             Mechanism(
                 "working set: each balancer uses a short prefix of the list", Status.IMPLEMENTED, "`balance`"
@@ -118,7 +122,7 @@
             Mechanism(
                 "subsetting: a balancer is sent only the servers that it uses",
                 Status.MISSING,
-                "it holds the whole list; memory and one change grow with it",
+                "it holds the full list; memory and the cost of a change grow with it",
             ),
         ),
     )
@@ -146,16 +150,18 @@
         row(QuantityKind.PEAK, "calls, a change a second", busy(control_calls)),
         row(QuantityKind.BYTES, "no change", control_bytes(inputs, servers, 0.0), bandwidth),
         row(QuantityKind.BYTES, "a change a second", busy(control_bytes), bandwidth),
-        row(QuantityKind.PROCESSOR, "told mean of changes", control_core_pct(inputs, servers, mean), core),
+        row(QuantityKind.PROCESSOR, "mean rate of changes", control_core_pct(inputs, servers, mean), core),
         row(QuantityKind.PROCESSOR, "a change a second", busy(control_core_pct), core),
         row(
-            QuantityKind.PROCESSOR, "whole list taken once", module_measurement(inputs, "whole_list", servers)
+            QuantityKind.PROCESSOR,
+            "full list applied once",
+            module_measurement(inputs, "whole_list", servers),
         ),
-        row(QuantityKind.PROCESSOR, "one change taken", module_measurement(inputs, "one_change", servers)),
+        row(QuantityKind.PROCESSOR, "one change applied", module_measurement(inputs, "one_change", servers)),
         row(QuantityKind.PROCESSOR, "placing once, median", module_measurement(inputs, "place", servers)),
         row(
             QuantityKind.PROCESSOR,
-            "placing once, 99 in 100",
+            "placing once, p99",
             module_measurement(inputs, "place_p99", servers),
         ),
         row(QuantityKind.MEMORY, "process without clients", control_memory(inputs, servers), memory),
@@ -221,25 +227,28 @@
             Row(QuantityKind.PEAK, "deliveries", peak),
             Row(
                 QuantityKind.PROCESSOR,
-                "deliveries, mean, beside one process",
+                "deliveries, mean, with the budget of one process",
                 inputs.delivery_cores,
                 inputs.process_core_budget,
             ),
             Row(
-                QuantityKind.PROCESSOR, "deliveries, peak, beside one core", peak_cores, assumed(1.0, "cores")
+                QuantityKind.PROCESSOR,
+                "deliveries, peak, with the budget of one core",
+                peak_cores,
+                assumed(1.0, "cores"),
             ),
             Row(QuantityKind.PROCESSOR, "placing once in one process, a group for each connection", placing),
             Row(QuantityKind.PROCESSOR, "placing once in each of its processes", placing_per_process),
             Row(
                 QuantityKind.MEMORY,
-                "its connections, beside one machine",
+                "its connections, with the memory of one machine",
                 memory,
                 inputs.assumed("machine_memory_gb"),
             ),
             Row(QuantityKind.MEMORY, "one connection", inputs.connection_memory),
             Row(
                 QuantityKind.MEMORY,
-                "a process with as many at rest, beside one machine",
+                "a process with as many at rest, with the memory of one machine",
                 idle_memory,
                 machine_memory,
             ),
@@ -254,9 +263,9 @@
                 "listening socket handed to the next version", Status.IMPLEMENTED, "`management/versions`"
             ),
             Mechanism(
-                "sharding by process: several accept at one address, each with connections of its own",
+                "sharding by process: several accept at one address, each with its own connections",
                 Status.MISSING,
-                "several run beside one another today as balancers of their own",
+                "today several run side by side as separate balancers",
             ),
             Mechanism(
                 "accept balancing in the kernel (SO_REUSEPORT)", Status.EXTERNAL, "the operating system's"
--- a/benchmarks/capacity/configuration.py
+++ b/benchmarks/capacity/configuration.py
@@ -53,12 +53,12 @@
         Row(QuantityKind.STATE, "log of a day's changes", day_log(inputs), inputs.memory_budget),
         Row(
             QuantityKind.MEMORY,
-            "the same, held by a balancer for who was away",
+            "the same, kept by a balancer for reconnecting peers",
             day_log(inputs),
             inputs.memory_budget,
         ),
         Row(QuantityKind.MESSAGES, "changes", inputs.changes_per_s),
-        Row(QuantityKind.PEAK, "largest burst, within the told time", peak),
+        Row(QuantityKind.PEAK, "largest burst, within the deadline", peak),
         Row(QuantityKind.PEAK, "the same, coalesced", coalesced_rate(inputs)),
         Row(
             QuantityKind.MESSAGES,
@@ -84,7 +84,7 @@
                 inputs.core_budget,
                 servers,
             ),
-            Row(QuantityKind.TIME, "the same, until it is taken", time, inputs.change_deadline, servers),
+            Row(QuantityKind.TIME, "the same, until it is applied", time, inputs.change_deadline, servers),
         ]
     return Role(
         "configuration",
@@ -92,14 +92,14 @@
         "Quantities are of a balancer.",
         tuple(rows),
         (
-            Mechanism("reload of the whole file, all of it or nothing", Status.IMPLEMENTED, "SIGHUP"),
+            Mechanism("atomic reload of the complete file", Status.IMPLEMENTED, "SIGHUP"),
             Mechanism(
                 "changes of the server list by version", Status.IMPLEMENTED, "watch, then only what changed"
             ),
             Mechanism(
-                "versioned configuration by watch, last good one kept",
+                "versioned configuration by watch, last valid one kept",
                 Status.MISSING,
-                "files are brought by hand or by another system",
+                "files are deployed by hand or by another system",
             ),
             Mechanism("replicated store with watches, by consensus", Status.EXTERNAL, "the source of both"),
         ),
--- a/benchmarks/capacity/delivery.py
+++ b/benchmarks/capacity/delivery.py
@@ -119,8 +119,8 @@
     fleet = inputs.targets.fleet
     zones_per_region = math.ceil(fleet.zones / fleet.regions)
     hops = [
-        _hop(inputs, "publisher's process to the topic's holder", 1.0, specified(1.0, "nodes"), "world"),
-        _hop(inputs, "holder to regions", float(fleet.regions), specified(fleet.regions, "nodes"), "world"),
+        _hop(inputs, "publisher's process to the topic's owner", 1.0, specified(1.0, "nodes"), "world"),
+        _hop(inputs, "owner to regions", float(fleet.regions), specified(fleet.regions, "nodes"), "world"),
         _hop(
             inputs, "region to its zones", float(zones_per_region), specified(fleet.zones, "nodes"), "region"
         ),
@@ -203,7 +203,7 @@
         "Quantities are of the fleet.",
         (
             Row(QuantityKind.STATE, "listeners of the largest topic as entries, all balancers", state),
-            Row(QuantityKind.MEMORY, "a balancer's part of it", state_per_balancer, inputs.memory_budget),
+            Row(QuantityKind.MEMORY, "a balancer's share of it", state_per_balancer, inputs.memory_budget),
             Row(QuantityKind.MESSAGES, "deliveries", rate),
             Row(QuantityKind.PEAK, "deliveries", peak),
             Row(QuantityKind.BYTES, "deliveries", traffic),
@@ -226,7 +226,7 @@
             Mechanism(
                 "application-level multicast: a tree by region, zone and process",
                 Status.MISSING,
-                "no topic is known here",
+                "balancers have no notion of a topic",
             ),
             Mechanism(
                 "backpressure: a listener is read no faster than it is written to",
@@ -236,7 +236,7 @@
             Mechanism(
                 "subscription state, by topic and shard",
                 Status.MISSING,
-                "what a topic is to a balancer is asked",
+                "a topic is not defined for a balancer yet",
             ),
             Mechanism("durable log of a topic's messages", Status.EXTERNAL, "an existing broker's work"),
         ),
--- a/benchmarks/capacity/detection.py
+++ b/benchmarks/capacity/detection.py
@@ -90,17 +90,17 @@
     return Role(
         "detection",
         "Detection of failed machines",
-        "Each quantity says whose it is.",
+        "Each quantity names its scope.",
         (
             Row(QuantityKind.STATE, "an entry for each machine", state, inputs.memory_budget),
             Row(
                 QuantityKind.MEMORY,
-                "the same at a keeper of leases, in memory",
+                "the same at a lease store, in memory",
                 state,
                 inputs.assumed("machine_memory_gb"),
             ),
             Row(QuantityKind.MESSAGES, "machines that fail or restart", mean_rate),
-            Row(QuantityKind.PEAK, "machines of a lost zone, told within the told time", peak),
+            Row(QuantityKind.PEAK, "machines of a lost zone, announced within the deadline", peak),
             Row(QuantityKind.MESSAGES, "heartbeats at a control machine", per_machine),
             Row(
                 QuantityKind.BYTES,
@@ -110,7 +110,7 @@
             ),
             Row(
                 QuantityKind.BYTES,
-                "heartbeats to a keeper of leases",
+                "heartbeats to a lease store",
                 lease_bytes(inputs),
                 inputs.bytes_budget,
             ),
@@ -123,10 +123,10 @@
             ),
             Row(
                 QuantityKind.TIME,
-                "a standing connection of ours that is silent is moved after",
+                "a silent established connection is moved after",
                 silence_limit(),
             ),
-            Row(QuantityKind.TIME, "a lease has run out after", lease_expiry(inputs)),
+            Row(QuantityKind.TIME, "a lease expires after", lease_expiry(inputs)),
         ),
         (
             Mechanism(
@@ -139,7 +139,9 @@
             ),
             Mechanism("heartbeats and leases at a store", Status.EXTERNAL, "what the list is made from"),
             Mechanism(
-                "gossip among balancers (SWIM)", Status.MISSING, "needs control talk between machines; asked"
+                "gossip among balancers (SWIM)",
+                Status.MISSING,
+                "needs control traffic between machines; an open question",
             ),
         ),
     )
--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -89,7 +89,7 @@
     rows = (
         Row(
             QuantityKind.STATE,
-            f"whole list on the wire, {inputs.server_counts[-1]:,} servers",
+            f"full list on the wire, {inputs.server_counts[-1]:,} servers",
             full_list_bytes(inputs),
         ),
         Row(
@@ -106,17 +106,22 @@
         ),
         Row(
             QuantityKind.PEAK,
-            "answers for one change, all within the told time",
+            "answers for one change, all within the deadline",
             peak_answers(inputs),
             inputs.list_service_rate,
         ),
         Row(QuantityKind.BYTES, "sent, all balancers", idle_measurement(inputs, "list.bytes_per_s")),
         Row(
             QuantityKind.BYTES,
-            "whole lists to all after a reset, within the told time",
+            "full lists to all after a reset, within the deadline",
             reset_bytes(inputs, all_lists),
         ),
-        Row(QuantityKind.PROCESSOR, "idle calls by the time of one, beside one core", idle_core, one_core),
+        Row(
+            QuantityKind.PROCESSOR,
+            "idle calls at the cost of one, with the budget of one core",
+            idle_core,
+            one_core,
+        ),
         Row(QuantityKind.PROCESSOR, "measured", idle_measurement(inputs, "list.core_pct"), one_core),
         Row(QuantityKind.MEMORY, "log of a day's changes", day_log),
         Row(
@@ -139,26 +144,28 @@
         ),
         Row(
             QuantityKind.TIME,
-            "the same measured, at 99 in 100",
+            "the same measured, p99",
             measured_notification_time(inputs, "p99"),
             inputs.change_deadline,
         ),
         Row(
             QuantityKind.TIME,
-            "a list at the last one after all watches were reset",
+            "a list at the last balancer after all watches were reset",
             reset_time(inputs),
             inputs.change_deadline,
         ),
     )
     return Role(
         "lists",
-        "List service, and what fans changes out",
+        "List service and fan-out of changes",
         "Quantities are of all balancers.",
         rows,
         (
-            Mechanism("replicated store with watches, by consensus", Status.EXTERNAL, "met as a stand-in"),
-            Mechanism("watch by long polling", Status.IMPLEMENTED, "`machines/discovery`"),
-            Mechanism(RELAY_MECHANISM, relay_status, "chapter below"),
+            Mechanism(
+                "replicated store with watches, by consensus", Status.EXTERNAL, "represented by a stand-in"
+            ),
+            Mechanism("watch by long polling", Status.IMPLEMENTED, "`server_list/discovery`"),
+            Mechanism(RELAY_MECHANISM, relay_status, "see the chapter below"),
             Mechanism(
                 "exponential backoff with full jitter after a failed call", Status.IMPLEMENTED, "`balance`"
             ),
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -99,7 +99,7 @@
     for measured in ranges:
         by_series.setdefault(measured.series, []).append(str(measured))
     described = "; ".join(f"`{series}` at {', '.join(sizes)}" for series, sizes in by_series.items())
-    return f"(x) goes beyond what was measured: {described}."
+    return f"(x) exceeds the measured ranges: {described}."
 
 
 def role_table(role: Role) -> str:
@@ -161,7 +161,7 @@
 def mechanism_table(mechanisms: Iterable[Mechanism]) -> str:
     """Table of the mechanisms of a role."""
     return markdown_table(
-        ("mechanism", "it", "remark"),
+        ("mechanism", "status", "remark"),
         ((mechanism.term, f"*{mechanism.status.value}*", mechanism.remark) for mechanism in mechanisms),
     )
 
@@ -169,7 +169,7 @@
 def ranking_table(entries: Iterable[RankedQuantity]) -> str:
     """Table of the ranked quantities, largest multiple of the budget first."""
     return markdown_table(
-        ("multiple", "quantity", "value", "budget", "carried by", "remark"),
+        ("multiple", "quantity", "value", "budget", "reduced by", "remark"),
         (
             (
                 format_multiple(entry.multiple),
@@ -188,11 +188,11 @@
     """Table of the options for a balancer to look up the owner of a shard."""
     return markdown_table(
         (
-            "way",
-            "state of a balancer",
+            "option",
+            "state per balancer",
             "bytes, mean",
-            "news of a lost zone, at the budget",
-            "its age",
+            "announcing a lost zone, at the budget",
+            "age of the answer",
             "verdict",
         ),
         (
@@ -223,8 +223,8 @@
         for hop in hops
     ]
     sending, latency = (total(*(getattr(hop, part) for hop in hops)) for part in ("sending", "latency"))
-    rows.append(("together", "", "", sending.short, latency.short, queue.short))
-    headings = ("hop", "receivers", "children of a sender", "sending", "way", "queue, told part")
+    rows.append(("total", "", "", sending.short, latency.short, queue.short))
+    headings = ("hop", "receivers", "children of a sender", "sending", "latency", "queueing, target quantile")
     return "\n\n".join(part for part in (markdown_table(headings, rows), ranges_of([total_time])) if part)
 
 
@@ -234,9 +234,9 @@
         (
             "lost",
             "clients",
-            "at each balancer left",
-            "it then holds",
-            "all back, no cryptography",
+            "at each remaining balancer",
+            "connections it then holds",
+            "all reconnected, no cryptography",
             "with cryptography",
             "fleet admits",
             "jitter over",
@@ -267,8 +267,8 @@
             "of a core",
             "answers of one change",
             "calls at the source",
-            "source answers all in",
-            "a change at the last",
+            "time to answer all at the source",
+            "change at the last balancer",
         ),
         (
             (
@@ -290,8 +290,8 @@
     """Table of the delay until balancers had the changes, one row per run."""
     headings = (
         "story", "relays", "hollow", "real", "processes", "servers", "service", "p50", "p99", "last",
-        "without it", "real p99", "real last", f"99 in 100 within {format_number(within_s)} s", "held",
-        "hollow loops late", "lost",
+        "not updated", "real p99", "real last", f"99 in 100 within {format_number(within_s)} s", "held",
+        "hollow loop delay p99", "lost",
     )  # fmt: skip
     return markdown_table(headings, (run_row(run, within_s) for run in sorted_runs(runs)))
 
@@ -331,7 +331,7 @@
     """Table of the resource usage of runs; core percentages are means over a run."""
     headings = (
         "story", "relays", "hollow", "calls at the source", "peak", "sent", "its core", "calls of a balancer",
-        "bytes", "hollow's core", "hollow's memory", "real's core", "real's memory", "relay's core, most",
+        "bytes", "hollow's core", "hollow's memory", "real's core", "real's memory", "relay's core, max",
         "relay's memory", "relay sends",
     )  # fmt: skip
     return markdown_table(headings, (run_cost_row(run) for run in sorted_runs(runs)))
@@ -400,7 +400,7 @@
 def assumption_table(assumptions: Assumptions) -> str:
     """Table of all assumptions with their reasons."""
     counts = ", ".join(format_number(count) for count in assumptions.server_counts)
-    rows = [("server counts", counts, "the operators do not tell how many")]
+    rows = [("server counts", counts, "not specified by the operators")]
     for name, assumption in assumptions.single_values().items():
         unit, _ = unit_of(name)
         suffix = {"%": "pct"}.get(unit, name.rpartition("_")[2]) if unit else ""
--- a/benchmarks/capacity/reconnecting.py
+++ b/benchmarks/capacity/reconnecting.py
@@ -124,28 +124,30 @@
     return Role(
         "reconnecting",
         "Reconnecting after a loss of rack, zone or region",
-        "Quantities are of a balancer that is left, after a zone.",
+        "Quantities are of a remaining balancer, after the loss of a zone.",
         (
-            Row(QuantityKind.STATE, "connections that come", state),
+            Row(QuantityKind.STATE, "connections that arrive", state),
             Row(
                 QuantityKind.MEMORY,
-                "all connections then, beside one machine",
+                "all connections afterwards, with the memory of one machine",
                 memory,
                 inputs.assumed("machine_memory_gb"),
             ),
             Row(QuantityKind.MESSAGES, "connections, spread over the assumed time", mean_rate, admitted_rate),
             Row(QuantityKind.PEAK, "connections, all within a second", herd_rate(zone), admitted_rate),
-            Row(QuantityKind.PROCESSOR, "the spread ones, with cryptography", mean_cores, core_budget),
-            Row(QuantityKind.TIME, "all back, no cryptography", zone.plain_time, deadline),
-            Row(QuantityKind.TIME, "all back, with cryptography", zone.encrypted_time, deadline),
+            Row(
+                QuantityKind.PROCESSOR, "the same spread arrivals, with cryptography", mean_cores, core_budget
+            ),
+            Row(QuantityKind.TIME, "all reconnected, without cryptography", zone.plain_time, deadline),
+            Row(QuantityKind.TIME, "all reconnected, with cryptography", zone.encrypted_time, deadline),
             Row(
                 QuantityKind.TIME,
-                "arrivals of a lost zone in the decision module, each",
+                "one arrival of a lost zone in the decision module",
                 zone_measured(inputs, "failure.zone_arrivals"),
             ),
             Row(
                 QuantityKind.TIME,
-                "the same, all of one balancer's",
+                "all arrivals of one balancer",
                 zone_measured(inputs, "failure.zone_seconds"),
                 deadline,
             ),
@@ -153,22 +155,24 @@
         ),
         (
             Mechanism(
-                "retry-after to clients that cannot be taken (`BUSY MS`)",
+                "retry-after to clients that cannot be admitted (`BUSY MS`)",
                 Status.IMPLEMENTED,
-                "where settings allow it",
+                "if settings allow it",
             ),
             Mechanism(
-                "admission by what each server carries and its warmth",
+                "admission by each server's load and slow start",
                 Status.IMPLEMENTED,
-                "cold servers, late servers",
+                "cold servers, overloaded servers",
             ),
             Mechanism(
-                "admission of newcomers by processor time of the balancer",
+                "admission of new connections by processor time of the balancer",
                 Status.MISSING,
-                "descriptors bound it today",
+                "limited by descriptors today",
             ),
             Mechanism("full jitter in the clients' reconnecting", Status.EXTERNAL, "the clients'"),
-            Mechanism("anycast or DNS that leads clients to another zone", Status.EXTERNAL, "the network's"),
+            Mechanism(
+                "anycast or DNS that directs clients to another zone", Status.EXTERNAL, "the network's"
+            ),
         ),
     )
 
--- a/benchmarks/capacity/shards.py
+++ b/benchmarks/capacity/shards.py
@@ -79,7 +79,7 @@
     entry_bytes = inputs.assumed("shard_entry_bytes")
     return [
         LookupOption(
-            "the whole table by a watch",
+            "the full table by a watch",
             table_bytes(inputs),
             byte_rate(shard_moves(inputs, min_servers), entry_bytes),
             time_in_budget(inputs, zone_change_bytes(inputs, shard_count(inputs), entry_bytes)),
@@ -92,15 +92,15 @@
             renewal_bytes(inputs),
             time_in_budget(inputs, specified(0.0, "B")),
             "a lease",
-            "renewing costs more than all else: renew at use only",
+            "renewal costs more than all else: renew only on use",
         ),
         LookupOption(
-            "lookup on demand, entries cached under leases, asked anew at use only",
+            "lookup on demand, entries cached under leases, renewed only on use",
             inputs.assumed("shard_cache_mb"),
             byte_rate(inputs.assumed("shards_asked_per_s"), lookup_bytes(inputs)),
             time_in_budget(inputs, specified(0.0, "B")),
             "a lease; a wrong owner redirects",
-            "for keys that no hash places; its rate has to be bounded",
+            "for keys that are not placed by hash; its rate has to be bounded",
         ),
         LookupOption(
             "consistent hashing of shards onto servers, no table",
@@ -116,7 +116,7 @@
             byte_rate(slot_moves(inputs, min_servers), SLOT_CHANGE),
             time_in_budget(inputs, zone_change_bytes(inputs, inputs.assumed("shard_slots"), SLOT_CHANGE)),
             "as the server list",
-            "fits; taken for the plan, with lookups for what is neither",
+            "fits; chosen, with lookups for all other shards",
         ),
     ]
 
@@ -189,24 +189,24 @@
     )
     return Role(
         "shards",
-        "Holder of shards to servers",
-        "Each quantity says whose it is.",
+        "Directory of shards",
+        "Each quantity names its scope.",
         (
             Row(
                 QuantityKind.STATE,
-                "all shards as entries, beside a balancer's memory",
+                "all shards as entries, with a balancer's memory budget",
                 table_bytes(inputs),
                 inputs.memory_budget,
             ),
             Row(
                 QuantityKind.MEMORY,
-                "all shards in a balancer as it holds servers today",
+                "all shards in a balancer, held as servers are today",
                 memory_as_servers(inputs),
                 inputs.memory_budget,
             ),
             Row(
                 QuantityKind.MEMORY,
-                f"a control machine's part, {REPLICAS.value:.0f} replicas",
+                f"a control machine's share, {REPLICAS.value:.0f} replicas",
                 bytes_per_machine,
                 inputs.assumed("machine_memory_gb"),
             ),
@@ -221,7 +221,7 @@
                 shard_moves(inputs, max_servers),
             ),
             Row(QuantityKind.MESSAGES, "lookups, all balancers", lookups),
-            Row(QuantityKind.PEAK, "shards of a lost zone, within the told time", zone_moves(inputs)),
+            Row(QuantityKind.PEAK, "shards of a lost zone, within the deadline", zone_moves(inputs)),
             Row(
                 QuantityKind.BYTES,
                 "lookups of a balancer",
@@ -237,15 +237,15 @@
         ),
         (
             Mechanism(
-                "replicated store with watches, by consensus", Status.EXTERNAL, "an existing engine's work"
+                "replicated store with watches, by consensus", Status.EXTERNAL, "provided by existing engines"
             ),
             Mechanism(
                 "consistent hashing with a table of exceptions",
                 Status.MISSING,
-                "a shard is nothing to a balancer yet",
+                "balancers have no notion of a shard yet",
             ),
             Mechanism(
-                "cache of lookups under leases", Status.MISSING, "needs a protocol that nobody has told"
+                "cache of lookups under leases", Status.MISSING, "needs a protocol that is not specified"
             ),
             Mechanism(
                 "shuffle sharding of groups onto servers",
