--- a/benchmarks/capacity/balancer.py
+++ b/benchmarks/capacity/balancer.py
@@ -55,12 +55,12 @@
 
 def extra_change_time(inputs: Inputs, servers: int, series: str) -> Quantity:
     """Extra processor time per change, compared with the number of servers that changes were measured at."""
-    measured_at = inputs.measurements.nearest_input(series, "changes_per_s", "servers", servers)
+    measured_servers = inputs.measurements.nearest_input(series, "changes_per_s", "servers", servers)
     return derived(
         "s",
         lambda wanted, measured: max(0.0, wanted - measured),
         module_measurement(inputs, "one_change", servers),
-        module_measurement(inputs, "one_change", int(measured_at)),
+        module_measurement(inputs, "one_change", int(measured_servers)),
     )
 
 
@@ -70,7 +70,7 @@
     return derived("s", lambda cost, changes: cost * changes, one_change, inputs.largest_burst)
 
 
-def control(inputs: Inputs) -> Role:
+def control_role(inputs: Inputs) -> Role:
     """The role of control: server list, watches and timers of one balancer."""
     connections = inputs.connections_per_balancer.value or 0.0
     rows = [row for servers in inputs.server_counts for row in _control_rows(inputs, servers)]
@@ -199,7 +199,7 @@
     return inputs.measurements.at(f"module.{series}", "servers", servers)
 
 
-def data_path(inputs: Inputs) -> Role:
+def data_path_role(inputs: Inputs) -> Role:
     """The role of the data path: connections and deliveries of one balancer."""
     connections = inputs.connections_per_balancer.value or 0.0
     peak = derived(
@@ -297,21 +297,21 @@
         "processes", lambda per_balancer, count: per_balancer * count, processes, inputs.balancers
     )
     return {
-        "data.processes_each": processes,
-        "data.processes_all": all_processes,
-        "data.rate_of_a_process": delivery_rate,
-        "data.connections_of_a_process": inputs.connections_per_process,
+        "data.processes_per_balancer": processes,
+        "data.processes_in_fleet": all_processes,
+        "data.deliveries_per_process": delivery_rate,
+        "data.connections_per_process": inputs.connections_per_process,
         "data.machines_by_cores": by_cores,
         "data.machines_by_memory": by_memory,
         "data.memory": memory,
-        "data.memory_of_a_process": derived(
+        "data.memory_per_process": derived(
             "B", lambda total_bytes, parts: total_bytes / parts, memory, processes
         ),
-        "data.control_memory_of_all": memory_all_processes(inputs, inputs.server_counts[-1]),
-        "data.watchers": inputs.watches_per_process_total,
-        "data.rest_of_all": idle_core_pct_all_processes(inputs),
+        "data.control_memory_all_processes": memory_all_processes(inputs, inputs.server_counts[-1]),
+        "data.process_watches": inputs.total_process_watches,
+        "data.idle_core_pct_all_processes": idle_core_pct_all_processes(inputs),
         "data.cores": inputs.delivery_cores,
-        "data.line": inputs.line_cost,
-        "data.connections_each": inputs.connections_per_balancer,
-        "data.deliveries_each": inputs.deliveries_per_balancer,
+        "data.line_cost": inputs.line_cost,
+        "data.connections_per_balancer": inputs.connections_per_balancer,
+        "data.deliveries_per_balancer": inputs.deliveries_per_balancer,
     }
--- a/benchmarks/capacity/configuration.py
+++ b/benchmarks/capacity/configuration.py
@@ -41,7 +41,7 @@
     return derived("%", lambda time, duration: time / duration * PERCENT, burst_time(inputs, servers), window)
 
 
-def configuration(inputs: Inputs) -> Role:
+def configuration_role(inputs: Inputs) -> Role:
     """The role of configuration changes at a balancer."""
     mean_bytes = derived(
         "B/s", lambda rate, size: rate * size, inputs.changes_per_s, inputs.assumed("change_bytes")
--- a/benchmarks/capacity/delivery.py
+++ b/benchmarks/capacity/delivery.py
@@ -182,7 +182,7 @@
     return total(*(hop.sending for hop in hops), *(hop.latency for hop in hops), tree_queue(inputs))
 
 
-def delivery(inputs: Inputs) -> Role:
+def delivery_role(inputs: Inputs) -> Role:
     """The role of delivery: the largest topic, and the targeted rate of all deliveries."""
     fleet = inputs.targets.fleet
     entry = inputs.assumed("shard_entry_bytes")
@@ -246,15 +246,15 @@
 def delivery_quantities(inputs: Inputs) -> dict[str, Quantity]:
     """Quantities quoted in the chapter on delivery."""
     return {
-        "delivery.alone": single_process_time(inputs),
-        "delivery.flat": flat_fan_out_time(inputs),
-        "delivery.within": delivery_deadline(inputs),
-        "delivery.tree": tree_time(inputs),
-        "delivery.listeners_a_process": listeners_per_process(inputs),
+        "delivery.single_process_time": single_process_time(inputs),
+        "delivery.flat_fan_out_time": flat_fan_out_time(inputs),
+        "delivery.deadline": delivery_deadline(inputs),
+        "delivery.tree_time": tree_time(inputs),
+        "delivery.listeners_per_process": listeners_per_process(inputs),
         "delivery.fan_out": inputs.assumed("tree_fan_out"),
-        "delivery.busy": derived("%", lambda fraction: fraction * PERCENT, utilization(inputs)),
-        "delivery.queue": tree_queue(inputs),
-        "delivery.ways": total(*(hop.latency for hop in tree(inputs))),
+        "delivery.utilization": derived("%", lambda fraction: fraction * PERCENT, utilization(inputs)),
+        "delivery.queueing_time": tree_queue(inputs),
+        "delivery.latency": total(*(hop.latency for hop in tree(inputs))),
         "delivery.messages": derived(
             "/s",
             lambda rate, count: rate / count,
--- a/benchmarks/capacity/detection.py
+++ b/benchmarks/capacity/detection.py
@@ -71,7 +71,7 @@
     return derived("attempts", lambda failed, count: failed * count, daily_failures, inputs.balancers)
 
 
-def detection(inputs: Inputs) -> Role:
+def detection_role(inputs: Inputs) -> Role:
     """The role of failure detection: its load and its detection times."""
     failures = inputs.targets.failures
     mean_rate = specified((failures.machines_per_day + failures.restarts_per_day) / DAY_S, "/s")
@@ -159,9 +159,9 @@
         "detection.all_pairs": all_pairs_bytes(inputs),
         "detection.gossip": gossip_bytes(inputs),
         "detection.lease": lease_bytes(inputs),
-        "detection.after": lease_expiry(inputs),
-        "detection.silent": silence_limit(),
-        "detection.wasted": failed_attempts(inputs),
+        "detection.lease_expiry": lease_expiry(inputs),
+        "detection.silence_limit": silence_limit(),
+        "detection.failed_attempts": failed_attempts(inputs),
         "detection.heartbeats": heartbeat_rate(inputs),
         "detection.heartbeats_half": inputs.per_control_machine(
             heartbeat_rate(inputs), lost=inputs.targets.budget.machines // 2
--- a/benchmarks/capacity/inputs.py
+++ b/benchmarks/capacity/inputs.py
@@ -154,7 +154,7 @@
         )
 
     @cached_property
-    def watches_per_process_total(self) -> Quantity:
+    def total_process_watches(self) -> Quantity:
         """Watches in the fleet if every process of every balancer has its own."""
         return derived(
             "watches", lambda count, processes: count * processes, self.balancers, self.processes_per_balancer
--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -36,7 +36,7 @@
 def direct_time_by_process(inputs: Inputs) -> Quantity:
     """Time until the last process has a change if one list service answers every process."""
     return derived(
-        "s", lambda count, rate: count / rate, inputs.watches_per_process_total, inputs.list_service_rate
+        "s", lambda count, rate: count / rate, inputs.total_process_watches, inputs.list_service_rate
     )
 
 
@@ -272,31 +272,31 @@
         "lists.rate": inputs.list_service_rate,
         "lists.service": inputs.assumed("list_service_ms"),
         "lists.direct_time": direct_time(inputs),
-        "lists.within": inputs.change_deadline,
+        "lists.deadline": inputs.change_deadline,
         "lists.direct_time_by_process": direct_time_by_process(inputs),
         "lists.balancers": inputs.balancers,
-        "lists.whole": full_list_bytes(inputs),
-        "lists.whole_all": all_lists,
-        "lists.whole_per_machine": inputs.per_control_machine(all_lists),
-        "lists.whole_share": derived(
+        "lists.full_list": full_list_bytes(inputs),
+        "lists.full_list_all": all_lists,
+        "lists.full_list_per_machine": inputs.per_control_machine(all_lists),
+        "lists.full_list_time": derived(
             "s", lambda size, rate: size / rate, full_list_bytes(inputs), inputs.bytes_budget
         ),
         "lists.coalesce": inputs.relay_setting("coalesce"),
         "lists.max_age": max_age,
-        "lists.silent": silence,
-        "lists.beside": hedge_delay,
-        "lists.age_most": total(max_age, silence, hedge_delay),
-        "lists.age_bound": specified(MAX_LIST_AGE_S, "s"),
-        "apart.time": specified(failures.apart_s, "s"),
-        "apart.changes": partition_changes,
-        "apart.log": partition_log,
-        "apart.machines": specified(daily_machine_changes * failures.apart_s / DAY_S, "machines"),
-        "apart.machines_a_region": specified(
+        "lists.silence_limit": silence,
+        "lists.hedge_delay": hedge_delay,
+        "lists.third_call_age": total(max_age, silence, hedge_delay),
+        "lists.max_list_age": specified(MAX_LIST_AGE_S, "s"),
+        "partition.duration": specified(failures.apart_s, "s"),
+        "partition.changes": partition_changes,
+        "partition.log": partition_log,
+        "partition.machines": specified(daily_machine_changes * failures.apart_s / DAY_S, "machines"),
+        "partition.machines_per_region": specified(
             daily_machine_changes * failures.apart_s / DAY_S / inputs.targets.fleet.regions, "machines"
         ),
         "control.per_region": specified(
             inputs.targets.budget.machines / inputs.targets.fleet.regions, "machines"
         ),
         "control.machines": inputs.control_machines,
-        "control.half": specified(inputs.targets.budget.machines // 2, "machines"),
+        "control.half_of_machines": specified(inputs.targets.budget.machines // 2, "machines"),
     }
--- a/benchmarks/capacity/reconnecting.py
+++ b/benchmarks/capacity/reconnecting.py
@@ -104,7 +104,7 @@
     return derived("/s", lambda clients, time: clients / time, lost.clients_per_balancer, HERD_WINDOW)
 
 
-def reconnecting(inputs: Inputs) -> Role:
+def reconnecting_role(inputs: Inputs) -> Role:
     """The role of reconnecting: load of a lost zone's clients on each remaining balancer."""
     zone = zone_loss(inputs)
     deadline = inputs.assumed("return_within_s")
@@ -193,15 +193,15 @@
     """Quantities quoted in the chapter on reconnecting."""
     zone = zone_loss(inputs)
     return {
-        "return.clients": zone.clients,
-        "return.each": zone.clients_per_balancer,
-        "return.admission": zone.admission,
-        "return.window": zone.jitter_window,
-        "return.herd": herd_rate(zone),
-        "return.cost": connection_cost(inputs),
-        "return.encrypted_cost": encrypted_cost(inputs),
-        "return.region_held": losses(inputs)[2].connections_held,
-        "return.servers": derived(
+        "reconnecting.clients": zone.clients,
+        "reconnecting.clients_per_balancer": zone.clients_per_balancer,
+        "reconnecting.admission_rate": zone.admission,
+        "reconnecting.jitter_window": zone.jitter_window,
+        "reconnecting.herd_rate": herd_rate(zone),
+        "reconnecting.connection_cost": connection_cost(inputs),
+        "reconnecting.encrypted_cost": encrypted_cost(inputs),
+        "reconnecting.connections_after_region_loss": losses(inputs)[2].connections_held,
+        "reconnecting.clients_per_server": derived(
             "connections",
             lambda clients, servers: clients / servers,
             zone.clients,
--- a/benchmarks/capacity/shards.py
+++ b/benchmarks/capacity/shards.py
@@ -172,7 +172,7 @@
     return derived("s", lambda total_bytes, rate: total_bytes / rate, size, inputs.bytes_budget)
 
 
-def shard_directory(inputs: Inputs) -> Role:
+def shard_directory_role(inputs: Inputs) -> Role:
     """The role of the shard directory: its size, and the lookups of all balancers."""
     min_servers, max_servers = inputs.server_counts[0], inputs.server_counts[-1]
     lookups = derived(
@@ -260,7 +260,7 @@
     """Quantities quoted in the chapter on shards."""
     return {
         "shards.entries": table_bytes(inputs),
-        "shards.as_servers": memory_as_servers(inputs),
+        "shards.memory_as_servers": memory_as_servers(inputs),
         "shards.budget": inputs.memory_budget,
         "shards.slots": slot_table_bytes(inputs),
         "shards.exceptions": exceptions_bytes(inputs),
@@ -268,7 +268,7 @@
         "shards.lookups_in_budget": derived(
             "/s", lambda rate, size: rate / size, inputs.bytes_budget, lookup_bytes(inputs)
         ),
-        "shards.zone": derived(
+        "shards.per_zone": derived(
             "shards", lambda count, zones: count / zones, shard_count(inputs), inputs.zones
         ),
     }
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -350,7 +350,7 @@
     targets = read_targets(TARGETS)
     fleet = msgspec.structs.replace(targets.fleet, balancers=int(targets.fleet.balancers * factor))
     small, great = full_capacity(targets), full_capacity(msgspec.structs.replace(targets, fleet=fleet))
-    for name in ("lists.idle_calls", "lists.direct_time", "lists.whole_all", "configuration.direct"):
+    for name in ("lists.idle_calls", "lists.direct_time", "lists.full_list_all", "configuration.direct"):
         assert (great.named_quantities[name].value or 0.0) >= (small.named_quantities[name].value or 0.0)
 
 
@@ -403,7 +403,12 @@
     named_quantities = full_capacity().named_quantities
     shown = [
         named_quantities[name].amount
-        for name in ("lists.idle_calls", "lists.direct_time", "data.connections_each", "data.deliveries_each")
+        for name in (
+            "lists.idle_calls",
+            "lists.direct_time",
+            "data.connections_per_balancer",
+            "data.deliveries_per_balancer",
+        )
     ]
     assert shown == ["1,875/s", "75 s", "60,000 connections", "18,667/s"]
 
@@ -416,8 +421,8 @@
     processes = (inputs.processes_per_balancer.value or 0.0) * computed.targets.fleet.balancers
     assert reached >= processes
     parts = [part.value or 0.0 for hop in computed.hops for part in (hop.sending, hop.latency)]
-    queue = computed.named_quantities["delivery.queue"].value or 0.0
-    assert computed.named_quantities["delivery.tree"].value == pytest.approx(sum(parts) + queue)
+    queue = computed.named_quantities["delivery.queueing_time"].value or 0.0
+    assert computed.named_quantities["delivery.tree_time"].value == pytest.approx(sum(parts) + queue)
     single = [hop.queueing_time.value or 0.0 for hop in computed.hops]
     assert max(single) < queue < sum(single)
 
