--- a/benchmarks/capacity/detection.py
+++ b/benchmarks/capacity/detection.py
@@ -1,42 +1,44 @@
-"""Detection of failed machines: by each balancer itself, by a keeper of leases, or by gossip."""
+"""The role of failure detection: by each balancer itself, by leases at a store, or by gossip."""
 
 from __future__ import annotations
 
 from benchmarks.capacity.inputs import DAY_S, Inputs
-from benchmarks.capacity.lists import call_time
-from benchmarks.capacity.quantity import Quantity, derived, told
-from benchmarks.capacity.roles import Kind, Mechanism, Role, Row, Status
+from benchmarks.capacity.lists import call_cpu_time
+from benchmarks.capacity.quantity import Quantity, derived, specified
+from benchmarks.capacity.roles import Mechanism, QuantityKind, Role, Row, Status
 
-SILENT_S = 3.5  # a line of a standing connection unanswered for so long: `SILENT` of `puffinford/core`
+SILENCE_LIMIT_S = 3.5  # SILENCE_LIMIT_MS of puffinford/core/silent_servers.py
 
 
-def machines(inputs: Inputs) -> Quantity:
-    """All machines, with the most servers."""
-    fleet = inputs.targets
+def machine_count(inputs: Inputs) -> Quantity:
+    """Number of machines in the fleet, with the largest number of servers."""
+    targets = inputs.targets
     return derived(
         "machines",
-        lambda servers: servers + fleet.fleet.balancers + fleet.budget.machines,
-        inputs.most_servers,
+        lambda servers: servers + targets.fleet.balancers + targets.budget.machines,
+        inputs.max_servers,
     )
 
 
-def heartbeats(inputs: Inputs) -> Quantity:
-    """Heartbeats a second of all machines, one to the keeper of leases each."""
-    return derived("/s", lambda count, every: count / every, machines(inputs), inputs.assumed("heartbeat_ms"))
+def heartbeat_rate(inputs: Inputs) -> Quantity:
+    """Heartbeats per second if every machine sends them to a lease store."""
+    return derived(
+        "/s", lambda count, interval: count / interval, machine_count(inputs), inputs.assumed("heartbeat_ms")
+    )
 
 
-def all_pairs(inputs: Inputs) -> Quantity:
-    """Bytes a second of one machine, if it sends to each other one."""
+def all_pairs_bytes(inputs: Inputs) -> Quantity:
+    """Bytes per second and machine if every machine sends heartbeats to every other."""
     return derived(
-        "B/s", lambda rate, size: rate * size, heartbeats(inputs), inputs.assumed("heartbeat_bytes")
+        "B/s", lambda rate, size: rate * size, heartbeat_rate(inputs), inputs.assumed("heartbeat_bytes")
     )
 
 
-def gossip(inputs: Inputs) -> Quantity:
-    """Bytes a second of one machine by SWIM, whatever their number."""
+def gossip_bytes(inputs: Inputs) -> Quantity:
+    """Bytes per second and machine with the SWIM protocol, independent of the number of machines."""
     return derived(
         "B/s",
-        lambda probes, every, size: probes / every * size,
+        lambda probes, interval, size: probes / interval * size,
         inputs.assumed("gossip_probes"),
         inputs.assumed("heartbeat_ms"),
         inputs.assumed("heartbeat_bytes"),
@@ -44,105 +46,124 @@
 
 
 def lease_bytes(inputs: Inputs) -> Quantity:
-    """Bytes a second of one machine to the keeper of leases."""
+    """Bytes per second from one machine to a lease store."""
     return derived(
         "B/s",
-        lambda every, size: size / every,
+        lambda interval, size: size / interval,
         inputs.assumed("heartbeat_ms"),
         inputs.assumed("heartbeat_bytes"),
     )
 
 
-def detected_after(inputs: Inputs) -> Quantity:
-    """Until a lease has run out."""
+def lease_expiry(inputs: Inputs) -> Quantity:
+    """Time until the lease of a failed machine expires."""
     return derived(
         "s",
-        lambda every, missed: every * missed,
+        lambda interval, missed: interval * missed,
         inputs.assumed("heartbeat_ms"),
         inputs.assumed("heartbeats_missed"),
     )
 
 
-def wasted_attempts(inputs: Inputs) -> Quantity:
-    """Attempts at dead machines a day, if each balancer finds out by itself."""
-    a_day = told(inputs.targets.failures.machines_per_day, "")
-    return derived("attempts", lambda failed, count: failed * count, a_day, inputs.balancers)
+def failed_attempts(inputs: Inputs) -> Quantity:
+    """Failed attempts per day if each balancer detects failed machines by itself."""
+    daily_failures = specified(inputs.targets.failures.machines_per_day, "")
+    return derived("attempts", lambda failed, count: failed * count, daily_failures, inputs.balancers)
 
 
-def detection(inputs: Inputs) -> Role:
-    """Who learns when that a machine has failed."""
+def detection_role(inputs: Inputs) -> Role:
+    """The role of failure detection: its load and its detection times."""
     failures = inputs.targets.failures
-    mean = told((failures.machines_per_day + failures.restarts_per_day) / DAY_S, "/s")
-    zone = derived("machines", lambda count, zones: count / zones, machines(inputs), inputs.zones)
-    peak = derived("/s", lambda count, within: count / within, zone, inputs.in_force_within)
-    a_machine = inputs.per_control_machine(heartbeats(inputs))
+    mean_rate = specified((failures.machines_per_day + failures.restarts_per_day) / DAY_S, "/s")
+    zone = derived("machines", lambda count, zones: count / zones, machine_count(inputs), inputs.zones)
+    peak = derived("/s", lambda count, deadline: count / deadline, zone, inputs.change_deadline)
+    per_machine = inputs.per_control_machine(heartbeat_rate(inputs))
     core = derived(
-        "cores", lambda rate, cost: rate * cost, a_machine, call_time(inputs, inputs.targets.fleet.balancers)
+        "cores",
+        lambda rate, cost: rate * cost,
+        per_machine,
+        call_cpu_time(inputs, inputs.targets.fleet.balancers),
     )
     state = derived(
-        "B", lambda count, size: count * size, machines(inputs), inputs.assumed("shard_entry_bytes")
+        "B", lambda count, size: count * size, machine_count(inputs), inputs.assumed("shard_entry_bytes")
     )
     return Role(
         "detection",
         "Detection of failed machines",
-        "Each quantity says whose it is.",
+        "Each quantity names its scope.",
         (
-            Row(Kind.STATE, "an entry for each machine", state, inputs.memory_budget),
+            Row(QuantityKind.STATE, "an entry for each machine", state, inputs.memory_budget),
             Row(
-                Kind.MEMORY,
-                "the same at a keeper of leases, in memory",
+                QuantityKind.MEMORY,
+                "the same at a lease store, in memory",
                 state,
                 inputs.assumed("machine_memory_gb"),
             ),
-            Row(Kind.MESSAGES, "machines that fail or restart", mean),
-            Row(Kind.PEAK, "machines of a lost zone, told within the told time", peak),
-            Row(Kind.MESSAGES, "heartbeats at a control machine", a_machine),
-            Row(Kind.BYTES, "heartbeats of each machine to each", all_pairs(inputs), inputs.bytes_budget),
-            Row(Kind.BYTES, "heartbeats to a keeper of leases", lease_bytes(inputs), inputs.bytes_budget),
-            Row(Kind.BYTES, "gossip (SWIM)", gossip(inputs), inputs.bytes_budget),
+            Row(QuantityKind.MESSAGES, "machines that fail or restart", mean_rate),
+            Row(QuantityKind.PEAK, "machines of a lost zone, announced within the deadline", peak),
+            Row(QuantityKind.MESSAGES, "heartbeats at a control machine", per_machine),
+            Row(
+                QuantityKind.BYTES,
+                "heartbeats of each machine to each",
+                all_pairs_bytes(inputs),
+                inputs.bytes_budget,
+            ),
             Row(
-                Kind.PROCESSOR,
+                QuantityKind.BYTES,
+                "heartbeats to a lease store",
+                lease_bytes(inputs),
+                inputs.bytes_budget,
+            ),
+            Row(QuantityKind.BYTES, "gossip (SWIM)", gossip_bytes(inputs), inputs.bytes_budget),
+            Row(
+                QuantityKind.PROCESSOR,
                 "heartbeats at a control machine, each as one call of the list service",
                 core,
-                inputs.assumed_cores,
+                inputs.cores_per_machine,
+            ),
+            Row(
+                QuantityKind.TIME,
+                "a silent established connection is moved after",
+                silence_limit(),
             ),
-            Row(Kind.TIME, "a standing connection of ours that is silent is moved after", silent_after()),
-            Row(Kind.TIME, "a lease has run out after", detected_after(inputs)),
+            Row(QuantityKind.TIME, "a lease expires after", lease_expiry(inputs)),
         ),
         (
             Mechanism(
                 "passive health checks: by a balancer's own connections",
-                Status.RUNS,
+                Status.IMPLEMENTED,
                 "silence, resets, failed attempts",
             ),
             Mechanism(
-                "outlier ejection with backoff and trials", Status.RUNS, "`balance`; nothing is shared"
+                "outlier ejection with backoff and trials", Status.IMPLEMENTED, "`balance`; nothing is shared"
             ),
-            Mechanism("heartbeats and leases at a store", Status.ELSEWHERE, "what the list is made from"),
+            Mechanism("heartbeats and leases at a store", Status.EXTERNAL, "what the list is made from"),
             Mechanism(
-                "gossip among balancers (SWIM)", Status.MISSING, "needs control talk between machines; asked"
+                "gossip among balancers (SWIM)",
+                Status.MISSING,
+                "needs control traffic between machines; an open question",
             ),
         ),
     )
 
 
-def silent_after() -> Quantity:
-    """When a standing connection with an unanswered line is moved: set in this program."""
-    return told(SILENT_S, "s")
+def silence_limit() -> Quantity:
+    """Time until a connection with an unanswered line is moved, as set in this program."""
+    return specified(SILENCE_LIMIT_S, "s")
 
 
-def detection_figures(inputs: Inputs) -> dict[str, Quantity]:
-    """What the chapter on detection quotes."""
+def detection_quantities(inputs: Inputs) -> dict[str, Quantity]:
+    """Quantities quoted in the chapter on detection."""
     return {
-        "detection.machines": machines(inputs),
-        "detection.all_pairs": all_pairs(inputs),
-        "detection.gossip": gossip(inputs),
+        "detection.machines": machine_count(inputs),
+        "detection.all_pairs": all_pairs_bytes(inputs),
+        "detection.gossip": gossip_bytes(inputs),
         "detection.lease": lease_bytes(inputs),
-        "detection.after": detected_after(inputs),
-        "detection.silent": silent_after(),
-        "detection.wasted": wasted_attempts(inputs),
-        "detection.heartbeats": heartbeats(inputs),
+        "detection.lease_expiry": lease_expiry(inputs),
+        "detection.silence_limit": silence_limit(),
+        "detection.failed_attempts": failed_attempts(inputs),
+        "detection.heartbeats": heartbeat_rate(inputs),
         "detection.heartbeats_half": inputs.per_control_machine(
-            heartbeats(inputs), lost=inputs.targets.budget.machines // 2
+            heartbeat_rate(inputs), lost=inputs.targets.budget.machines // 2
         ),
     }
--- a/benchmarks/capacity/inputs.py
+++ b/benchmarks/capacity/inputs.py
@@ -1,4 +1,4 @@
-"""What all roles reckon with: targets, measurements, and the parts of a balancer and a control machine."""
+"""Inputs shared by all roles: targets, measurements, and values derived from them in one step."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from functools import cached_property
 
 from benchmarks.capacity.measurements import Measurements
-from benchmarks.capacity.quantity import Quantity, assumed, derived, told
+from benchmarks.capacity.quantity import Quantity, assumed, derived, specified
 from benchmarks.capacity.targets import Targets
 from puffinford.operators import RelaySettings
 from puffinford.server_list.discovery import RELAYED_TIMING, WATCH_WAIT_MS
@@ -18,13 +18,13 @@
 
 @dataclass(frozen=True)
 class Inputs:
-    """One fleet's targets and the results; what follows from both in one step."""
+    """One fleet's targets and measurements, with the values derived directly from them."""
 
     targets: Targets
-    measured: Measurements
+    measurements: Measurements
 
     def assumed(self, name: str) -> Quantity:
-        """An assumption, by its name in the file of targets."""
+        """An assumption, by its name in the targets file."""
         return self.targets.assumed.quantity(name)
 
     @property
@@ -32,135 +32,142 @@
         return self.targets.assumed.server_counts
 
     @cached_property
-    def most_servers(self) -> Quantity:
-        """The greatest of the assumed numbers of servers."""
+    def max_servers(self) -> Quantity:
+        """The largest assumed number of servers."""
         return assumed(self.server_counts[-1], "servers")
 
     @cached_property
     def balancers(self) -> Quantity:
-        return told(self.targets.fleet.balancers, "balancers")
+        return specified(self.targets.fleet.balancers, "balancers")
 
     @cached_property
     def zones(self) -> Quantity:
-        return told(self.targets.fleet.zones, "zones")
+        return specified(self.targets.fleet.zones, "zones")
 
     @cached_property
     def control_machines(self) -> Quantity:
-        return told(self.targets.budget.machines, "machines")
+        return specified(self.targets.budget.machines, "machines")
 
     @cached_property
-    def connections_each(self) -> Quantity:
-        """Standing connections of a balancer."""
+    def connections_per_balancer(self) -> Quantity:
+        """Established connections per balancer."""
         fleet = self.targets.fleet
-        return told(fleet.connections / fleet.balancers, "connections")
+        return specified(fleet.connections / fleet.balancers, "connections")
 
     @cached_property
-    def deliveries_each(self) -> Quantity:
-        """Deliveries a second of a balancer, in the mean."""
+    def deliveries_per_balancer(self) -> Quantity:
+        """Mean deliveries per second and balancer."""
         fleet = self.targets.fleet
-        return told(fleet.deliveries_per_s / fleet.balancers, "/s")
+        return specified(fleet.deliveries_per_s / fleet.balancers, "/s")
 
     @cached_property
     def changes_per_s(self) -> Quantity:
-        """Changes of configuration a second, in the mean of a day."""
-        return told(self.targets.changes.per_day / DAY_S, "/s")
+        """Configuration changes per second, averaged over a day."""
+        return specified(self.targets.changes.per_day / DAY_S, "/s")
 
     @cached_property
-    def in_force_within(self) -> Quantity:
-        return told(self.targets.changes.in_force_within_s, "s")
+    def change_deadline(self) -> Quantity:
+        return specified(self.targets.changes.in_force_within_s, "s")
 
     @cached_property
     def largest_burst(self) -> Quantity:
-        return told(max(self.targets.changes.bursts), "changes")
+        return specified(max(self.targets.changes.bursts), "changes")
 
     @cached_property
     def core_budget(self) -> Quantity:
-        return told(self.targets.budget.core_pct, "%")
+        return specified(self.targets.budget.core_pct, "%")
 
     @cached_property
     def memory_budget(self) -> Quantity:
-        return told(self.targets.budget.memory_mb * 1e6, "B")
+        return specified(self.targets.budget.memory_mb * 1e6, "B")
 
     @cached_property
     def bytes_budget(self) -> Quantity:
-        return told(self.targets.budget.bytes_per_s, "B/s")
+        return specified(self.targets.budget.bytes_per_s, "B/s")
 
     @cached_property
     def watch_wait(self) -> Quantity:
-        """For how long a balancer's watch waits at the list service: set in this program."""
-        return told(WATCH_WAIT_MS / 1_000.0, "s")
+        """How long a balancer's watch waits at the list service, as set in this program."""
+        return specified(WATCH_WAIT_MS / 1_000.0, "s")
 
     @cached_property
     def relay_watch_wait(self) -> Quantity:
-        """The same at a relay."""
-        return told(RELAYED_TIMING.wait / 1_000.0, "s")
+        """How long a balancer's watch waits at a relay, as set in this program."""
+        return specified(RELAYED_TIMING.wait / 1_000.0, "s")
 
     def relay_setting(self, name: str) -> Quantity:
-        """A duration of the relay's settings, by its default."""
-        return told(getattr(RelaySettings(), name) / 1_000.0, "s")
+        """The default of one duration in the relay's settings."""
+        return specified(getattr(RelaySettings(), name) / 1_000.0, "s")
 
     @cached_property
-    def list_rate(self) -> Quantity:
-        """Calls a second that the one list service answers."""
+    def list_service_rate(self) -> Quantity:
+        """Calls per second that one list service can answer."""
         return derived("/s", lambda service: 1.0 / service, self.assumed("list_service_ms"))
 
     @cached_property
     def line_cost(self) -> Quantity:
-        """Processor time of one delivered line."""
-        return self.measured.each(
+        """Processor time per delivered line."""
+        return self.measurements.unit_cost(
             "data.line_us", self.targets.fleet.deliveries_per_s / self.targets.fleet.balancers
         )
 
     @cached_property
     def connection_memory(self) -> Quantity:
-        """Resident memory of one standing connection in a process."""
-        standing = self.standing_a_process
-        found = self.measured.each("data.connection_kib", standing.value or 0.0)
-        return derived("B", lambda each, _: each, found, standing)
+        """Resident memory per established connection."""
+        connections = self.connections_per_process
+        found = self.measurements.unit_cost("data.connection_kib", connections.value or 0.0)
+        return derived("B", lambda size, _: size, found, connections)
 
     @cached_property
-    def data_cores(self) -> Quantity:
-        """Cores that a balancer's deliveries take, in the mean."""
-        return derived("cores", lambda rate, cost: rate * cost, self.deliveries_each, self.line_cost)
+    def delivery_cores(self) -> Quantity:
+        """Mean number of cores used by a balancer's deliveries."""
+        return derived("cores", lambda rate, cost: rate * cost, self.deliveries_per_balancer, self.line_cost)
 
     @cached_property
-    def process_cores(self) -> Quantity:
-        """The part of its one core that a process may be busy."""
-        return derived("cores", lambda part: part / PERCENT, self.assumed("process_core_pct"))
+    def process_core_budget(self) -> Quantity:
+        """The fraction of its core that a process may use."""
+        return derived("cores", lambda percent: percent / PERCENT, self.assumed("process_core_pct"))
 
     @cached_property
-    def processes_each(self) -> Quantity:
-        """Processes of ours that carry one balancer's deliveries."""
+    def processes_per_balancer(self) -> Quantity:
+        """Processes needed for one balancer's deliveries."""
         return derived(
             "processes",
-            lambda cores, most: max(1, math.ceil(cores / most)),
-            self.data_cores,
-            self.process_cores,
+            lambda cores, limit: max(1, math.ceil(cores / limit)),
+            self.delivery_cores,
+            self.process_core_budget,
         )
 
     @cached_property
-    def assumed_cores(self) -> Quantity:
-        """Cores of one machine."""
+    def cores_per_machine(self) -> Quantity:
+        """Cores per machine."""
         return assumed(self.targets.assumed.machine_cores.value, "cores")
 
     @cached_property
-    def standing_a_process(self) -> Quantity:
-        """Standing connections of one of a balancer's processes."""
+    def connections_per_process(self) -> Quantity:
+        """Established connections per process."""
         return derived(
-            "connections", lambda count, parts: count / parts, self.connections_each, self.processes_each
+            "connections",
+            lambda count, processes: count / processes,
+            self.connections_per_balancer,
+            self.processes_per_balancer,
         )
 
     @cached_property
-    def watchers_by_process(self) -> Quantity:
-        """Watches of the list, where each process of each balancer has its own."""
-        return derived("watches", lambda count, parts: count * parts, self.balancers, self.processes_each)
+    def total_process_watches(self) -> Quantity:
+        """Watches in the fleet if every process of every balancer has its own."""
+        return derived(
+            "watches", lambda count, processes: count * processes, self.balancers, self.processes_per_balancer
+        )
 
-    def at_quantity(self, series: str, over: str, size: Quantity) -> Quantity:
-        """A series at a size that is itself reckoned; its basis is the weaker of both."""
-        found = self.measured.at(series, over, size.value or 0.0)
+    def measured_at_quantity(self, series: str, over: str, size: Quantity) -> Quantity:
+        """A series at a size that is itself derived; the basis is the weaker of the two."""
+        found = self.measurements.at(series, over, size.value or 0.0)
         return derived(found.unit, lambda value, _: value, found, size)
 
     def per_control_machine(self, quantity: Quantity, lost: int = 0) -> Quantity:
-        """A quantity of the fleet, shared evenly by the control machines that are left."""
-        left = told(max(1, self.targets.budget.machines - lost), "machines")
-        return derived(quantity.unit, lambda whole, machines: whole / machines, quantity, left)
+        """A fleet-wide quantity divided evenly among the control machines, of which `lost` have failed."""
+        remaining = specified(max(1, self.targets.budget.machines - lost), "machines")
+        return derived(
+            quantity.unit, lambda fleet_total, machines: fleet_total / machines, quantity, remaining
+        )
--- a/benchmarks/capacity/reconnecting.py
+++ b/benchmarks/capacity/reconnecting.py
@@ -1,4 +1,4 @@
-"""Clients that come back after a rack, a zone or a region is lost: how many, how fast, and by what jitter."""
+"""The role of reconnecting: clients that return after the loss of a rack, a zone or a region."""
 
 from __future__ import annotations
 
@@ -6,80 +6,92 @@
 from dataclasses import dataclass
 
 from benchmarks.capacity.inputs import PERCENT, Inputs
-from benchmarks.capacity.quantity import Quantity, derived, greatest, told, total
-from benchmarks.capacity.roles import Kind, Mechanism, Role, Row, Status
+from benchmarks.capacity.quantity import Quantity, derived, maximum, specified, total
+from benchmarks.capacity.roles import Mechanism, QuantityKind, Role, Row, Status
 
-HERD_S = told(1.0, "s")  # in which clients without jitter come back
+HERD_WINDOW = specified(1.0, "s")  # clients without jitter return within this time
 
 
 @dataclass(frozen=True)
 class Loss:
-    """What goes at once, and what its clients cost the balancers that are left."""
+    """The loss of several balancers at once, and the load of its clients on the remaining ones."""
 
     name: str
-    clients: Quantity  # that come back
-    each: Quantity  # of them, at a balancer that is left
-    held: Quantity  # connections of such a balancer afterwards
-    plain: Quantity  # seconds until all are back
-    encrypted: Quantity  # the same with a full cryptographic handshake each
-    admission: Quantity  # connections a second that the fleet admits, with cryptography
-    window: Quantity  # full jitter over so long keeps arrivals within that rate
+    clients: Quantity  # that reconnect
+    clients_per_balancer: Quantity  # reconnecting to each remaining balancer
+    connections_held: Quantity  # per remaining balancer, once all have reconnected
+    plain_time: Quantity  # until all have reconnected
+    encrypted_time: Quantity  # until all have reconnected with a full cryptographic handshake
+    admission: Quantity  # connections per second that the fleet admits, with cryptography
+    jitter_window: Quantity  # full jitter over this time keeps arrivals within the admission rate
 
 
 def connection_cost(inputs: Inputs) -> Quantity:
-    """Processor time of one connection that comes: opened and placed by the side that clients speak to."""
-    standing = inputs.standing_a_process
-    placing = inputs.at_quantity("module.place_own_groups", "standing", standing)
-    opening = inputs.measured.each("data.connection_us", standing.value or 0.0)
+    """Processor time to accept and place one connection."""
+    connections = inputs.connections_per_process
+    placing = inputs.measured_at_quantity("module.place_own_groups", "standing", connections)
+    opening = inputs.measurements.unit_cost("data.connection_us", connections.value or 0.0)
     return total(opening, placing)
 
 
 def encrypted_cost(inputs: Inputs) -> Quantity:
-    """The same with a cryptographic handshake."""
+    """Processor time to accept and place one connection with a cryptographic handshake."""
     return total(connection_cost(inputs), inputs.assumed("cryptography_us"))
 
 
 def admission_rate(inputs: Inputs, cost: Quantity) -> Quantity:
-    """Connections a second that one balancer's processes may take, beside what they serve on."""
+    """Connections per second that one balancer may admit at this cost, besides serving existing ones."""
     return derived(
         "/s",
-        lambda part, processes, each: part / PERCENT * processes / each if each else math.inf,
+        lambda percent, processes, time: percent / PERCENT * processes / time if time else math.inf,
         inputs.assumed("return_core_pct"),
-        inputs.processes_each,
+        inputs.processes_per_balancer,
         cost,
     )
 
 
 def loss(inputs: Inputs, name: str, lost: Quantity) -> Loss:
-    """A loss of so many balancers at once."""
-    left = derived("balancers", lambda count, gone: count - gone, inputs.balancers, lost)
-    clients = derived("connections", lambda gone, each: gone * each, lost, inputs.connections_each)
-    each = derived("connections", lambda all_, parts: all_ / parts, clients, left)
-    plain = derived("s", time_for, each, admission_rate(inputs, connection_cost(inputs)))
+    """Compute the loss of a number of balancers at once."""
+    remaining = derived("balancers", lambda count, failed: count - failed, inputs.balancers, lost)
+    clients = derived(
+        "connections",
+        lambda failed, per_balancer: failed * per_balancer,
+        lost,
+        inputs.connections_per_balancer,
+    )
+    per_balancer = derived("connections", lambda total_, balancers: total_ / balancers, clients, remaining)
+    plain = derived("s", admission_time, per_balancer, admission_rate(inputs, connection_cost(inputs)))
     encrypted_rate = admission_rate(inputs, encrypted_cost(inputs))
-    encrypted = derived("s", time_for, each, encrypted_rate)
-    admission = derived("/s", lambda rate, parts: rate * parts, encrypted_rate, left)
-    window = greatest(encrypted, HERD_S)
+    encrypted = derived("s", admission_time, per_balancer, encrypted_rate)
+    admission = derived("/s", lambda rate, balancers: rate * balancers, encrypted_rate, remaining)
+    window = maximum(encrypted, HERD_WINDOW)
     return Loss(
-        name, clients, each, total(inputs.connections_each, each), plain, encrypted, admission, window
+        name,
+        clients,
+        per_balancer,
+        total(inputs.connections_per_balancer, per_balancer),
+        plain,
+        encrypted,
+        admission,
+        window,
     )
 
 
-def time_for(count: float, rate: float) -> float:
+def admission_time(count: float, rate: float) -> float:
     return count / rate if rate else math.inf
 
 
 def losses(inputs: Inputs) -> list[Loss]:
-    """A rack, a zone and a region."""
+    """The losses of a rack, a zone and a region."""
     fleet = inputs.targets.fleet
     rack = derived(
         "balancers",
-        lambda count, most: min(count, most - 1.0),
+        lambda count, balancers: min(count, balancers - 1.0),
         inputs.assumed("machines_a_rack"),
         inputs.balancers,
     )
     zone = derived("balancers", lambda count, zones: count / zones, inputs.balancers, inputs.zones)
-    region = told(fleet.balancers / fleet.regions, "balancers")
+    region = specified(fleet.balancers / fleet.regions, "balancers")
     return [loss(inputs, "rack", rack), loss(inputs, "zone", zone), loss(inputs, "region", region)]
 
 
@@ -88,105 +100,111 @@
 
 
 def herd_rate(lost: Loss) -> Quantity:
-    """Connections a second at one balancer, where all clients come back at once."""
-    return derived("/s", lambda each, time: each / time, lost.each, HERD_S)
+    """Connections per second at one balancer if all clients reconnect at once."""
+    return derived("/s", lambda clients, time: clients / time, lost.clients_per_balancer, HERD_WINDOW)
 
 
-def reconnecting(inputs: Inputs) -> Role:
-    """What a lost zone's clients cost each balancer that is left."""
+def reconnecting_role(inputs: Inputs) -> Role:
+    """The role of reconnecting: load of a lost zone's clients on each remaining balancer."""
     zone = zone_loss(inputs)
-    within = inputs.assumed("return_within_s")
-    mean = derived("/s", lambda each, time: each / time, zone.each, within)
-    rate = admission_rate(inputs, encrypted_cost(inputs))
-    memory = derived("B", lambda count, each: count * each, zone.held, inputs.connection_memory)
-    state = derived("B", lambda count, each: count * each, zone.each, inputs.connection_memory)
-    busy = derived("cores", lambda rate_, cost: rate_ * cost, mean, encrypted_cost(inputs))
-    spare = derived(
+    deadline = inputs.assumed("return_within_s")
+    mean_rate = derived("/s", lambda each, time: each / time, zone.clients_per_balancer, deadline)
+    admitted_rate = admission_rate(inputs, encrypted_cost(inputs))
+    memory = derived("B", lambda count, each: count * each, zone.connections_held, inputs.connection_memory)
+    state = derived(
+        "B", lambda count, each: count * each, zone.clients_per_balancer, inputs.connection_memory
+    )
+    mean_cores = derived("cores", lambda rate_, cost: rate_ * cost, mean_rate, encrypted_cost(inputs))
+    core_budget = derived(
         "cores",
-        lambda part, parts: part / PERCENT * parts,
+        lambda percent, processes: percent / PERCENT * processes,
         inputs.assumed("return_core_pct"),
-        inputs.processes_each,
+        inputs.processes_per_balancer,
     )
     return Role(
         "reconnecting",
         "Reconnecting after a loss of rack, zone or region",
-        "Quantities are of a balancer that is left, after a zone.",
+        "Quantities are of a remaining balancer, after the loss of a zone.",
         (
-            Row(Kind.STATE, "connections that come", state),
+            Row(QuantityKind.STATE, "connections that arrive", state),
             Row(
-                Kind.MEMORY,
-                "all connections then, beside one machine",
+                QuantityKind.MEMORY,
+                "all connections afterwards, with the memory of one machine",
                 memory,
                 inputs.assumed("machine_memory_gb"),
             ),
-            Row(Kind.MESSAGES, "connections, spread over the assumed time", mean, rate),
-            Row(Kind.PEAK, "connections, all within a second", herd_rate(zone), rate),
-            Row(Kind.PROCESSOR, "the spread ones, with cryptography", busy, spare),
-            Row(Kind.TIME, "all back, no cryptography", zone.plain, within),
-            Row(Kind.TIME, "all back, with cryptography", zone.encrypted, within),
+            Row(QuantityKind.MESSAGES, "connections, spread over the assumed time", mean_rate, admitted_rate),
+            Row(QuantityKind.PEAK, "connections, all within a second", herd_rate(zone), admitted_rate),
+            Row(
+                QuantityKind.PROCESSOR, "the same spread arrivals, with cryptography", mean_cores, core_budget
+            ),
+            Row(QuantityKind.TIME, "all reconnected, without cryptography", zone.plain_time, deadline),
+            Row(QuantityKind.TIME, "all reconnected, with cryptography", zone.encrypted_time, deadline),
             Row(
-                Kind.TIME,
-                "arrivals of a lost zone in the decision module, each",
+                QuantityKind.TIME,
+                "one arrival of a lost zone in the decision module",
                 zone_measured(inputs, "failure.zone_arrivals"),
             ),
             Row(
-                Kind.TIME,
-                "the same, all of one balancer's",
+                QuantityKind.TIME,
+                "all arrivals of one balancer",
                 zone_measured(inputs, "failure.zone_seconds"),
-                within,
+                deadline,
             ),
-            Row(Kind.TIME, f"a restart, {inputs.server_counts[-1]:,} servers", restart(inputs)),
+            Row(QuantityKind.TIME, f"a restart, {inputs.server_counts[-1]:,} servers", restart_time(inputs)),
         ),
         (
             Mechanism(
-                "retry-after to clients that cannot be taken (`BUSY MS`)",
-                Status.RUNS,
-                "where settings allow it",
+                "retry-after to clients that cannot be admitted (`BUSY MS`)",
+                Status.IMPLEMENTED,
+                "if settings allow it",
             ),
             Mechanism(
-                "admission by what each server carries and its warmth",
-                Status.RUNS,
-                "cold servers, late servers",
+                "admission by each server's load and slow start",
+                Status.IMPLEMENTED,
+                "cold servers, overloaded servers",
             ),
             Mechanism(
-                "admission of newcomers by processor time of the balancer",
+                "admission of new connections by processor time of the balancer",
                 Status.MISSING,
-                "descriptors bound it today",
+                "limited by descriptors today",
+            ),
+            Mechanism("full jitter in the clients' reconnecting", Status.EXTERNAL, "the clients'"),
+            Mechanism(
+                "anycast or DNS that directs clients to another zone", Status.EXTERNAL, "the network's"
             ),
-            Mechanism("full jitter in the clients' reconnecting", Status.ELSEWHERE, "the clients'"),
-            Mechanism("anycast or DNS that leads clients to another zone", Status.ELSEWHERE, "the network's"),
         ),
     )
 
 
 def zone_measured(inputs: Inputs, series: str) -> Quantity:
-    """A series of the module's arrivals after a lost zone, at a balancer's connections."""
-    standing = inputs.connections_each.value or 0.0
-    arrivals = zone_loss(inputs).each.value or 0.0
-    return inputs.measured.at(series, "standing", standing, arrivals=round(arrivals))
+    """A series of arrivals in the decision module after the loss of a zone."""
+    connections = inputs.connections_per_balancer.value or 0.0
+    arrivals = zone_loss(inputs).clients_per_balancer.value or 0.0
+    return inputs.measurements.at(series, "standing", connections, arrivals=round(arrivals))
 
 
-def restart(inputs: Inputs) -> Quantity:
-    """Until a restarted process is ready, with the most servers."""
-    return inputs.measured.at("failure.restart_s", "servers", inputs.server_counts[-1])
+def restart_time(inputs: Inputs) -> Quantity:
+    """Time until a restarted process is ready, with the largest number of servers."""
+    return inputs.measurements.at("failure.restart_s", "servers", inputs.server_counts[-1])
 
 
-def reconnecting_figures(inputs: Inputs) -> dict[str, Quantity]:
-    """What the chapter on reconnecting quotes."""
+def reconnecting_quantities(inputs: Inputs) -> dict[str, Quantity]:
+    """Quantities quoted in the chapter on reconnecting."""
     zone = zone_loss(inputs)
     return {
-        "return.clients": zone.clients,
-        "return.each": zone.each,
-        "return.admission": zone.admission,
-        "return.window": zone.window,
-        "return.herd": herd_rate(zone),
-        "return.cost": connection_cost(inputs),
-        "return.encrypted_cost": encrypted_cost(inputs),
-        "return.region_held": losses(inputs)[2].held,
-        "return.servers": derived(
+        "reconnecting.clients": zone.clients,
+        "reconnecting.clients_per_balancer": zone.clients_per_balancer,
+        "reconnecting.admission_rate": zone.admission,
+        "reconnecting.jitter_window": zone.jitter_window,
+        "reconnecting.herd_rate": herd_rate(zone),
+        "reconnecting.connection_cost": connection_cost(inputs),
+        "reconnecting.encrypted_cost": encrypted_cost(inputs),
+        "reconnecting.connections_after_region_loss": losses(inputs)[2].connections_held,
+        "reconnecting.clients_per_server": derived(
             "connections",
             lambda clients, servers: clients / servers,
             zone.clients,
-            inputs.most_servers,
+            inputs.max_servers,
         ),
     }
