--- a/benchmarks/rebalance/__main__.py
+++ b/benchmarks/rebalance/__main__.py
@@ -67,7 +67,7 @@
     figures["core_pct_50000"] = round(100 * cost.core_share(50_000, 10), 2)
     outcome = Model(servers, balancers, connections).run(300.0)
     figures["model_balanced_s"] = round(outcome.balanced_s, 1)
-    figures["model_moves_over_least"] = round(outcome.moves / max(1, outcome.least), 2)
+    figures["model_moves_over_least"] = round(outcome.moves / max(1, outcome.fewest_moves), 2)
     figures["model_fill"] = round(outcome.fill, 2)
     figures["model_back"] = outcome.back
     figures["model_strayed"] = outcome.strayed
--- a/benchmarks/rebalance/model.py
+++ b/benchmarks/rebalance/model.py
@@ -28,7 +28,7 @@
 
     balanced_s: float = float("inf")  # fullest over the mean under 1.2, for good
     moves: int = 0
-    least: int = 0  # moves without which the fullest server could not be as full as at the end
+    fewest_moves: int = 0  # moves without which the fullest server could not be as full as at the end
     fill: float = 0.0  # highest of a cold server's openings in a second, over its budget
     back: int = 0  # moves of a client to a server that it had been moved from
     strayed: int = 0  # moved clients that another balancer placed where they came from
@@ -92,13 +92,13 @@
 
     def pick(self, balancer: int) -> int:
         """Where the module of a balancer places a client now."""
-        own, best, least = self.own[balancer], -1, float("inf")
+        own, best, lowest_load = self.own[balancer], -1, float("inf")
         for _ in range(4):
             server = self.rng.randrange(len(own))
             if self._fits(balancer, server):
                 weight = own[server] / self.warmth(server)
-                if weight < least:
-                    best, least = server, weight
+                if weight < lowest_load:
+                    best, lowest_load = server, weight
         return best if best >= 0 else self.rng.randrange(len(own))
 
     def _place(self, balancer: int, server: int, client: int) -> None:
@@ -191,6 +191,6 @@
                 break
         self.outcome.balanced_s = balanced / 1_000.0 if balanced is not None else float("inf")
         most = max(self.total)
-        self.outcome.least = sum(max(0, total - most) for total in begun)
+        self.outcome.fewest_moves = sum(max(0, total - most) for total in begun)
         self.outcome.decision_us = cpu / rounds * 1e6
         return self.outcome
--- a/benchmarks/scale/kept_runs.py
+++ b/benchmarks/scale/kept_runs.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from statistics import fmean
 
-from benchmarks.scale.records import SCHEMA, Provenance, RunResults, ScaleRun, Told, read, write
+from benchmarks.scale.records import SCHEMA, PropagationTimes, Provenance, RunResults, ScaleRun, read, write
 from puffinford.scale import told
 from puffinford.scale.outcome import BalancerLoad, RunOutcome
 
@@ -55,8 +55,8 @@
     )
 
 
-def _told(seen: told.Told) -> Told:
-    return Told(
+def _told(seen: told.Told) -> PropagationTimes:
+    return PropagationTimes(
         seen.balancers,
         seen.changes,
         round(seen.p50_ms / 1_000.0, 4),
--- a/benchmarks/scale/records.py
+++ b/benchmarks/scale/records.py
@@ -32,7 +32,7 @@
     """A file of results or targets cannot be used; the text names place and value."""
 
 
-class ServerEntry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class MachineInfo(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The machine that was measured on."""
 
     cores: Annotated[int, msgspec.Meta(ge=1)]
@@ -44,7 +44,7 @@
 class Provenance(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Where figures come from: machine, program and moment."""
 
-    machine: ServerEntry
+    machine: MachineInfo
     commit: Name  # of the program; with `+` behind it where the tree held changes beside it
     date: Name  # ISO 8601, UTC
     remarks: str = ""  # what else ran on the machine, and other noise
@@ -91,7 +91,7 @@
     fits: list[Fit]
 
 
-class Told(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class PropagationTimes(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Seconds from a change at the list service until it is in force, over balancers and changes."""
 
     balancers: Count
@@ -121,8 +121,8 @@
     source_calls_peak: NotNegative  # in any one second
     source_bytes_per_s: NotNegative
     source_core_pct: NotNegative
-    told_hollow: Told
-    told_real: Told
+    told_hollow: PropagationTimes
+    told_real: PropagationTimes
     calls_per_balancer_s: NotNegative
     bytes_per_balancer_s: NotNegative
     hollow_core_pct: NotNegative  # a hollow balancer, of one core
@@ -153,12 +153,12 @@
 Record = TypeVar("Record", SlopeResults, RunResults)
 
 
-def this_machine() -> ServerEntry:
+def this_machine() -> MachineInfo:
     """The machine that this process runs on."""
     memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / _GIB
     python = f"{platform.python_implementation()} {platform.python_version()}"
     system = f"{platform.system()} {platform.machine()}"
-    return ServerEntry(os.cpu_count() or 1, round(memory, 1), python, system)
+    return MachineInfo(os.cpu_count() or 1, round(memory, 1), python, system)
 
 
 def now_utc() -> str:
--- a/benchmarks/scale/runs.py
+++ b/benchmarks/scale/runs.py
@@ -35,7 +35,7 @@
 )  # fmt: skip
 
 
-def twins(seed: int, skip: Skip = Skip.NOTHING, span: float = TWIN_SPAN) -> RunPlan:
+def agreement_plan(seed: int, skip: Skip = Skip.NOTHING, span: float = TWIN_SPAN) -> RunPlan:
     """The run in which hollow and real balancers have to agree."""
     return RunPlan(
         story=story("busy", span),
@@ -160,7 +160,7 @@
 
 def _agree(seed: int, runs: list[RunOutcome]) -> int:
     """Hollow and real at one size; ends with exit code 1 where they disagree."""
-    run = play(twins(seed))
+    run = play(agreement_plan(seed))
     runs.append(run)
     for found in run.disagreements:
         click.echo(f"{found.figure}: hollow {found.hollow}, real {found.real}, bound {found.bound}", err=True)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -31,11 +31,11 @@
     SLOPES,
     Fit,
     Point,
+    PropagationTimes,
     Provenance,
     RunResults,
     ScaleRun,
     SlopeResults,
-    Told,
     this_machine,
     write,
 )
@@ -78,8 +78,8 @@
     return SlopeResults(SCHEMA, [MEASURED], points, fits)
 
 
-def told_within(seconds: float) -> Told:
-    return Told(7_500, 1, seconds, seconds, seconds, 0)
+def told_within(seconds: float) -> PropagationTimes:
+    return PropagationTimes(7_500, 1, seconds, seconds, seconds, 0)
 
 
 def run(relays: int, held: bool = True) -> ScaleRun:
@@ -173,7 +173,7 @@
 
 
 def test_a_run_that_was_late_or_missed_somebody_says_no() -> None:
-    late, missed = told_within(3.1), Told(7_500, 1, 0.1, 0.1, 0.1, 1)
+    late, missed = told_within(3.1), PropagationTimes(7_500, 1, 0.1, 0.1, 0.1, 1)
     for found in (late, missed):
         other = msgspec.structs.replace(run(6), told_real=found)
         page = render(capacity(read_targets(TARGETS), None, RunResults(SCHEMA, [other])))
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -283,7 +283,7 @@
     outcome = Model(9, 3, 900, seed=2).run(120.0)
     assert outcome.ratios[0][1] > 1.4 and outcome.balanced_s < 60.0
     assert outcome.fill < 1.0 and outcome.back == 0
-    assert outcome.moves <= 1.6 * outcome.least + 30
+    assert outcome.moves <= 1.6 * outcome.fewest_moves + 30
 
 
 async def stand_and_add_a_server(here: Harness, site: Site, port: int) -> list[Peer]:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -93,7 +93,7 @@
 
 
 def twins(skip: Skip = Skip.NOTHING) -> RunPlan:
-    plan = replace(bench.twins(1, skip, 4.0), lost_most=float("inf"), bounds=UNTIMED)
+    plan = replace(bench.agreement_plan(1, skip, 4.0), lost_most=float("inf"), bounds=UNTIMED)
     return replace(plan, hollow=REAL, real=REAL, servers=20)
 
 
--- a/tests/test_scale_records.py
+++ b/tests/test_scale_records.py
@@ -14,13 +14,13 @@
 from benchmarks.scale import __main__ as command
 from benchmarks.scale import lists, records
 from benchmarks.scale.parts import parts
-from benchmarks.scale.records import BadRecord, Point, Provenance, ServerEntry, SlopeResults
+from benchmarks.scale.records import BadRecord, MachineInfo, Point, Provenance, SlopeResults
 from benchmarks.scale.runner import Cores, Outcome
 from benchmarks.scale.samples import NotHeld, Sample, gather
 from benchmarks.scale.sizes import FULL, QUICK
 from benchmarks.scale.store import EMPTY, join, load
 
-MACHINE = ServerEntry(8, 23.0, "CPython 3.11", "Linux x86_64")
+MACHINE = MachineInfo(8, 23.0, "CPython 3.11", "Linux x86_64")
 
 
 def provenance(commit: str) -> Provenance:
