--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,1 +1,1 @@
-"""What one balancer and the list service cost by size, and runs of thousands of balancers."""
+"""Resource use of a balancer and of the list service by size, and runs with thousands of balancers."""
--- a/benchmarks/scale/data.py
+++ b/benchmarks/scale/data.py
@@ -1,4 +1,4 @@
-"""Series of a real process that holds connections: at rest, and while lines go from servers to clients."""
+"""Resource use of a balancer process with established connections: idle, and while it forwards lines."""
 
 from __future__ import annotations
 
@@ -8,77 +8,83 @@
 
 import anyio
 
-from benchmarks.scale.control import balancer, start
-from benchmarks.scale.processes import Helper, cpu_seconds, helper, resident_mib
-from benchmarks.scale.samples import NotHeld, Sample
+from benchmarks.scale.control import balancer_process, start_balancer
+from benchmarks.scale.processes import HelperProcess, cpu_seconds, helper_process, resident_mib
+from benchmarks.scale.samples import Sample, SizeNotReached
 from benchmarks.scale.sizes import Sizes
 from puffinford.standins.balancer import BalancerProcess
 
-SPARE = 400  # descriptors beside those of the connections
-LEAST_PASSED = 0.95  # of the lines told; with fewer the rate was not held
+SPARE_DESCRIPTORS = 400  # beyond two for each connection
+MIN_FORWARDED_RATIO = 0.95  # of the requested lines
 _KIB = 1_024.0
 _US = 1e6
 
 
 @contextmanager
-def held(sizes: Sizes, standing: int, seed: int) -> Iterator[tuple[BalancerProcess, Helper]]:
-    """A running process before servers and clients of a helper, with descriptors for so many connections."""
+def loaded_balancer(
+    sizes: Sizes, connections: int, seed: int
+) -> Iterator[tuple[BalancerProcess, HelperProcess]]:
+    """Yield a running balancer with enough descriptors for `connections`, and the helper with its peers."""
     with (
-        helper("peers", sizes.rest_servers) as peers,
-        helper("list_service", sizes.rest_servers, 0, 0, seed, *peers.ready) as lists,
-        balancer(lists.ready, seed, 2 * standing + SPARE) as process,
+        helper_process("peers", sizes.connection_servers) as peers,
+        helper_process("list_service", sizes.connection_servers, 0, 0, seed, *peers.ready) as list_service,
+        balancer_process(list_service.ready, seed, 2 * connections + SPARE_DESCRIPTORS) as process,
     ):
-        anyio.run(start, process)
+        anyio.run(start_balancer, process)
         time.sleep(sizes.settle_s)
         yield process, peers
 
 
-def stand(process: BalancerProcess, peers: Helper, standing: int) -> None:
-    """Have so many connections stand; raises NotHeld with how far it got."""
-    reached = peers.ask("stand", process.port, standing)
-    if reached["standing"] != standing:
-        raise NotHeld(
-            f"{reached['standing']} of {standing} connections stand, {reached['failed']} tries failed"
+def establish(process: BalancerProcess, peers: HelperProcess, connections: int) -> None:
+    """Establish `connections` connections in total; raises SizeNotReached with the number reached."""
+    reached = peers.send_command("stand", process.port, connections)
+    if reached["standing"] != connections:
+        raise SizeNotReached(
+            f"{reached['standing']} of {connections} connections open, {reached['failed']} attempts failed"
         )
 
 
-def rest(sizes: Sizes, seed: int) -> Iterator[Sample]:
-    """What a process spends on connections that only stand, and what setting each up took."""
-    with held(sizes, sizes.rest_standing[-1], seed) as (process, peers):
+def idle_connections(sizes: Sizes, seed: int) -> Iterator[Sample]:
+    """Measure the cost of idle connections, and of setting up each connection."""
+    with loaded_balancer(sizes, sizes.idle_connections[-1], seed) as (process, peers):
         before = 0
-        for standing in sizes.rest_standing:
-            inputs: dict[str, float] = {"standing": standing, "servers": sizes.rest_servers}
+        for connections in sizes.idle_connections:
+            inputs: dict[str, float] = {"standing": connections, "servers": sizes.connection_servers}
             cpu, memory = cpu_seconds(process.pid), resident_mib(process.pid)
-            stand(process, peers, standing)
-            made = standing - before
-            if made:
+            establish(process, peers, connections)
+            added = connections - before
+            if added:
                 spent, grown = cpu_seconds(process.pid) - cpu, resident_mib(process.pid) - memory
-                yield Sample("data.connection_us", "us", inputs, spent / made * _US)
-                yield Sample("data.connection_kib", "KiB", inputs, grown / made * _KIB)
-            before = standing
+                yield Sample("data.connection_us", "us", inputs, spent / added * _US)
+                yield Sample("data.connection_kib", "KiB", inputs, grown / added * _KIB)
+            before = connections
             time.sleep(sizes.settle_s)
-            cpu, began = cpu_seconds(process.pid), time.monotonic()
+            cpu, started_at = cpu_seconds(process.pid), time.monotonic()
             time.sleep(sizes.window_s)
-            share = (cpu_seconds(process.pid) - cpu) / (time.monotonic() - began)
+            share = (cpu_seconds(process.pid) - cpu) / (time.monotonic() - started_at)
             yield Sample("control.standing_core_pct", "%", inputs, 100.0 * share)
             yield Sample("control.standing_resident_mib", "MiB", inputs, resident_mib(process.pid))
-            if peers.ask("count") != standing:
-                raise NotHeld(f"{peers.ask('count')} of {standing} connections stood to the end")
+            if peers.send_command("count") != connections:
+                raise SizeNotReached(
+                    f"{peers.send_command('count')} of {connections} connections remained open"
+                )
 
 
-def lines(sizes: Sizes, seed: int) -> Iterator[Sample]:
-    """What passing lines on takes, by lines a second; the process's rest is in it, and is the intercept of
-    `data.core_pct`."""
-    with held(sizes, sizes.line_standing, seed) as (process, peers):
-        stand(process, peers, sizes.line_standing)
+def forwarded_lines(sizes: Sizes, seed: int) -> Iterator[Sample]:
+    """Measure the cost of forwarding lines, by lines per second.
+
+    It includes the idle cost of the process, which is the intercept of `data.core_pct`.
+    """
+    with loaded_balancer(sizes, sizes.line_connections, seed) as (process, peers):
+        establish(process, peers, sizes.line_connections)
         time.sleep(sizes.settle_s)
-        for rate in sizes.rates:
-            inputs: dict[str, float] = {"lines_per_s": rate, "standing": sizes.line_standing}
+        for rate in sizes.lines_per_s:
+            inputs: dict[str, float] = {"lines_per_s": rate, "standing": sizes.line_connections}
             cpu = cpu_seconds(process.pid)
-            passed = peers.ask("lines", rate, sizes.window_s)
+            forwarded = peers.send_command("lines", rate, sizes.window_s)
             spent = cpu_seconds(process.pid) - cpu
-            if passed["lines"] < LEAST_PASSED * rate * sizes.window_s:
-                told = passed["lines"] / passed["seconds"]
-                raise NotHeld(f"{told:.0f} of {rate} lines a second were passed on")
-            yield Sample("data.line_us", "us", inputs, spent / passed["lines"] * _US)
-            yield Sample("data.core_pct", "%", inputs, 100.0 * spent / passed["seconds"])
+            if forwarded["lines"] < MIN_FORWARDED_RATIO * rate * sizes.window_s:
+                lines_per_s = forwarded["lines"] / forwarded["seconds"]
+                raise SizeNotReached(f"{lines_per_s:.0f} of {rate} lines per second were forwarded")
+            yield Sample("data.line_us", "us", inputs, spent / forwarded["lines"] * _US)
+            yield Sample("data.core_pct", "%", inputs, 100.0 * spent / forwarded["seconds"])
--- a/benchmarks/scale/failure.py
+++ b/benchmarks/scale/failure.py
@@ -1,4 +1,4 @@
-"""What a lost zone costs a decision module: its clients come back, all to this one balancer."""
+"""Cost for a decision module when a zone fails and all its clients reconnect to this balancer."""
 
 from __future__ import annotations
 
@@ -12,19 +12,23 @@
 
 
 def lost_zone(sizes: Sizes, seed: int) -> Iterator[Sample]:
-    """Processor time of the module for the list's change and all arrivals, each placed and standing."""
-    plan = [(standing, sizes.zone_arrivals[-1]) for standing in sizes.zone_standing[:-1]]
-    plan += [(sizes.zone_standing[-1], arrivals) for arrivals in sizes.zone_arrivals]
-    for standing, arrivals in plan:
+    """Measure the processor time of placing and establishing all reconnecting clients."""
+    plan = [(connections, sizes.zone_arrivals[-1]) for connections in sizes.zone_connections[:-1]]
+    plan += [(sizes.zone_connections[-1], arrivals) for arrivals in sizes.zone_arrivals]
+    for connections, arrivals in plan:
         driver = Driver(sizes.at_servers, sizes.at_balancers, sizes.groups, seed)
-        driver.tell_whole()
-        while len(driver.standing) < standing:
+        driver.send_full_list()
+        while len(driver.connections) < connections:
             driver.place()
-        driver.lose(driver.servers[: max(1, sizes.at_servers // sizes.zones)])
+        driver.lose_servers(driver.servers[: max(1, sizes.at_servers // sizes.zones)])
         before = driver.cpu
         for _ in range(arrivals):
             driver.place(came_back=True)
         seconds = driver.cpu - before
-        inputs: dict[str, float] = {"servers": sizes.at_servers, "standing": standing, "arrivals": arrivals}
+        inputs: dict[str, float] = {
+            "servers": sizes.at_servers,
+            "standing": connections,
+            "arrivals": arrivals,
+        }
         yield Sample("failure.zone_arrivals", "us", inputs, seconds / arrivals * _US)
         yield Sample("failure.zone_seconds", "s", inputs, seconds)
--- a/benchmarks/scale/kept_runs.py
+++ b/benchmarks/scale/kept_runs.py
@@ -1,4 +1,4 @@
-"""Outcomes of scale runs as records, and the file that keeps them."""
+"""Converts outcomes of scale runs to records, and stores them in the results file."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from puffinford.scale.outcome import BalancerLoad, RunOutcome
 
 
-def record(outcome: RunOutcome, measured: Provenance) -> ScaleRun:
-    """A run as it is kept."""
+def make_record(outcome: RunOutcome, measured: Provenance) -> ScaleRun:
+    """Return the record of a run for the results file."""
     lists, hollow, real = outcome.list_service, outcome.hollow_load, outcome.real_load
     calls, size = _per_balancer(outcome)
     return ScaleRun(
@@ -32,8 +32,8 @@
         source_calls_peak=lists.calls_peak,
         source_bytes_per_s=round((lists.sent + lists.received) / outcome.seconds, 1),
         source_core_pct=lists.cpu_percent,
-        told_hollow=_told(outcome.hollow_told),
-        told_real=_told(outcome.real_told),
+        told_hollow=_propagation_times(outcome.hollow_told),
+        told_real=_propagation_times(outcome.real_told),
         calls_per_balancer_s=calls,
         bytes_per_balancer_s=size,
         hollow_core_pct=hollow.cpu_percent,
@@ -55,7 +55,7 @@
     )
 
 
-def _told(seen: told.Told) -> PropagationTimes:
+def _propagation_times(seen: told.Told) -> PropagationTimes:
     return PropagationTimes(
         seen.balancers,
         seen.changes,
@@ -67,7 +67,10 @@
 
 
 def _per_balancer(outcome: RunOutcome) -> tuple[float, float]:
-    """Calls and bytes a second; behind relays their answers alone, and 0 where they logged too little."""
+    """Return the calls and bytes per second of one balancer.
+
+    Behind relays only the relays' answers count; the result is 0 if the relays logged too little.
+    """
     load: BalancerLoad = outcome.hollow_load
     if load.calls_a_second is not None and load.bytes_a_second is not None:
         return load.calls_a_second, load.bytes_a_second
@@ -81,16 +84,16 @@
     return round(fmean(values), 2) if values else 0.0
 
 
-def keep(path: Path, new: Sequence[ScaleRun]) -> None:
-    """Add runs to a results file, each in place of one of the same story, size and settings.
+def store_runs(path: Path, new: Sequence[ScaleRun]) -> None:
+    """Add runs to a results file; each replaces a stored run of the same story, size and settings.
 
-    Raises BadRecord where the file cannot be used.
+    Raises BadRecord if the file is invalid.
     """
-    held = read(path, RunResults).runs if path.exists() else []
-    fresh = {_key(run): run for run in new}
-    kept = [run for run in held if _key(run) not in fresh]
+    stored = read(path, RunResults).runs if path.exists() else []
+    fresh = {_run_key(run): run for run in new}
+    kept = [run for run in stored if _run_key(run) not in fresh]
     write(path, RunResults(SCHEMA, [*kept, *fresh.values()]))
 
 
-def _key(run: ScaleRun) -> tuple[object, ...]:
+def _run_key(run: ScaleRun) -> tuple[object, ...]:
     return run.story, run.hollow, run.real, run.relays, run.servers, run.service_ms, run.seed
--- a/benchmarks/scale/list_service.py
+++ b/benchmarks/scale/list_service.py
@@ -1,9 +1,14 @@
-"""The project's stand-in for the list service as a process of its own, with a count of its calls and bytes.
+"""Helper process: a stand-in for the list service that counts its calls and bytes.
 
-python -m benchmarks.scale.list_service SERVERS CHANGES_PER_S SERVICE_MS SEED [HOST:PORT...]; its first line
-is its own HOST:PORT. The servers have the addresses told, or ones at which nothing is.
-Commands: `figures`, `change` (one entry, now), `break` (all watches are reset), `open` (calls that are out).
-Changes a second come at even distances. Nothing is kept of what was told, as a stage's stand-in would do.
+python -m benchmarks.scale.list_service SERVERS CHANGES_PER_S SERVICE_MS SEED [HOST:PORT...]
+
+It prints its own HOST:PORT first. The servers have the given addresses, by default unreachable ones.
+Changes are evenly spaced. Commands:
+
+- `figures`: the counts of calls and bytes
+- `change`: change one entry now
+- `break`: reset all watches
+- `open`: the number of open calls
 """
 
 from __future__ import annotations
@@ -19,14 +24,14 @@
 import anyio.abc
 from anyio.abc import SocketStream
 
-from benchmarks.scale.processes import obey
+from benchmarks.scale.processes import serve_commands
 from puffinford.core.clock import Clock
 from puffinford.standins.discovery import Discovery
 from puffinford.standins.trace import EventKind, Trace
 
 
-class NoTrace(Trace):
-    """Keeps nothing: a trace of every entry told would be the greater part of the cost."""
+class NullTrace(Trace):
+    """Discards all entries, since tracing them would dominate the measured cost."""
 
     def add(self, what: EventKind, **more: object) -> None:
         pass
@@ -34,21 +39,21 @@
 
 @dataclass
 class Traffic:
-    """What went over all connections, both ways."""
+    """Bytes over all connections, by direction."""
 
     received: int = 0
     sent: int = 0
 
 
 class CountedStream:
-    """A stream that adds its bytes to a count."""
+    """A stream that counts its bytes."""
 
     def __init__(self, stream: SocketStream, traffic: Traffic) -> None:
         self._stream = stream
         self._traffic = traffic
 
-    async def receive(self, most: int = 65_536) -> bytes:
-        data = await self._stream.receive(most)
+    async def receive(self, max_bytes: int = 65_536) -> bytes:
+        data = await self._stream.receive(max_bytes)
         self._traffic.received += len(data)
         return data
 
@@ -61,43 +66,43 @@
 
 
 class MeasuredDiscovery(Discovery):
-    """The stand-in, which counts, and takes `service_ms` for each call, one call after the other."""
+    """The stand-in with counts of its traffic and calls, and a delay of `service_ms` for each answer."""
 
     def __init__(self, clock: Clock, tasks: anyio.abc.TaskGroup, service_ms: float) -> None:
-        super().__init__(clock, NoTrace(clock.now), tasks)
+        super().__init__(clock, NullTrace(clock.now), tasks)
         self.traffic = Traffic()
-        self.out = 0  # calls that are open now ...
-        self._breaks = 0  # ... and came after the last of so many resets of all
+        self.open_calls = 0  # calls since the last reset that are still open
+        self._resets = 0
         self._service_ms = service_ms
 
     async def _play(self, stream: SocketStream, by: str = "", where: Any = None) -> None:
-        breaks = self._breaks
-        self.out += 1
+        resets = self._resets
+        self.open_calls += 1
         try:
             await super()._play(cast(SocketStream, CountedStream(stream, self.traffic)), by, where)
         finally:
-            # Guards the count against a watch that was reset and is still waited for here.
-            if breaks == self._breaks:
-                self.out -= 1
+            # Prevents a call that a reset has already removed from being subtracted twice.
+            if resets == self._resets:
+                self.open_calls -= 1
 
     async def _answer(self, stream: SocketStream, index: int | None, by: str, where: Any) -> None:
         await self._clock.sleep(self._service_ms)
         await super()._answer(stream, index, by, where)
 
     async def break_all(self) -> None:
-        """Reset every connection that is open."""
-        self._breaks += 1
-        self.out = 0
+        """Reset all open connections."""
+        self._resets += 1
+        self.open_calls = 0
         await self._port.break_all()
 
 
-def nowhere(number: int) -> str:
-    """An address on loopback, another for each number, at which nothing listens."""
+def unreachable_address(number: int) -> str:
+    """Return a loopback address with no listener, different for each number."""
     return f"127.{1 + number // 65_536}.{number // 256 % 256}.{number % 256}:9"
 
 
 class ListService:
-    """The stand-in with its list, and the commands."""
+    """The stand-in with its server list, and the commands on it."""
 
     def __init__(
         self, discovery: MeasuredDiscovery, servers: int, seed: int, addresses: Sequence[str] = ()
@@ -106,28 +111,28 @@
         self._rng = random.Random(seed)
         self._names = [f"s-{seed}-{n:06}" for n in range(servers)]
         for number, name in enumerate(self._names):
-            address = addresses[number] if addresses else nowhere(number)
+            address = addresses[number] if addresses else unreachable_address(number)
             discovery.registry.put(name, addr=address, zone=f"z{number % 26}")
         discovery.become("sound")
 
     def change(self) -> int:
-        """One server drains, or is back; the version that tells it."""
+        """Toggle one server between active and leaving; return the version of the list with this change."""
         name = self._rng.choice(self._names)
         registry = self.discovery.registry
         state = "leaving" if registry.entries[name]["state"] == "active" else "active"
         self.discovery.put(name, state=state)
         return registry.version + 1
 
-    async def change_on(self, per_second: float) -> None:
-        """Changes at even distances."""
-        due = time.monotonic()
+    async def change_periodically(self, per_second: float) -> None:
+        """Change an entry at regular intervals."""
+        next_change_at = time.monotonic()
         while True:
-            due += 1.0 / per_second
-            await anyio.sleep(due - time.monotonic())
+            next_change_at += 1.0 / per_second
+            await anyio.sleep(next_change_at - time.monotonic())
             self.change()
 
     async def handle(self, words: list[str]) -> object:
-        """Answer one command."""
+        """Run one command."""
         match words:
             case ["figures"]:
                 traffic = self.discovery.traffic
@@ -138,18 +143,18 @@
                 await self.discovery.break_all()
                 return {"at": time.monotonic()}
             case ["open"]:
-                return self.discovery.out
-        raise ValueError(f"{words} is no command")
+                return self.discovery.open_calls
+        raise ValueError(f"unknown command: {words}")
 
 
 async def serve(servers: int, changes: float, service_ms: float, seed: int, addresses: Sequence[str]) -> None:
-    """Run until the input ends."""
+    """Serve until standard input is closed."""
     async with anyio.create_task_group() as tasks:
         discovery = MeasuredDiscovery(Clock(), tasks, service_ms)
         service = ListService(discovery, servers, seed, addresses)
         if changes:
-            tasks.start_soon(service.change_on, changes)
-        await obey(service.handle, discovery.address)
+            tasks.start_soon(service.change_periodically, changes)
+        await serve_commands(service.handle, discovery.address)
         tasks.cancel_scope.cancel()
 
 
--- a/benchmarks/scale/module.py
+++ b/benchmarks/scale/module.py
@@ -1,7 +1,7 @@
-"""Series of the decision module alone: settable time, one process, processor time of that process.
+"""Processor time and memory of the decision module alone, in simulated time and one process.
 
-Memory is what tracemalloc counts as held by the module, all of it, so that slopes are bytes a server and
-bytes a connection.
+Memory is the total that tracemalloc attributes to the module, so that slopes are bytes per server and bytes
+per connection.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 
 
 def _inputs(sizes: Sizes, groups: int, **varied: float) -> dict[str, float]:
-    """All inputs of a placing. Groups of its own for each connection are no number, and are left out."""
-    told: dict[str, float] = {"servers": sizes.at_servers, "standing": 0, "balancers": sizes.at_balancers}
+    """Return all inputs of a placement, without `groups` if each connection has its own group."""
+    inputs: dict[str, float] = {"servers": sizes.at_servers, "standing": 0, "balancers": sizes.at_balancers}
     if groups:
-        told["groups"] = groups
-    return {**told, **varied}
+        inputs["groups"] = groups
+    return {**inputs, **varied}
 
 
-def _placed(times: list[float], inputs: dict[str, float], series: str = "module.place") -> list[Sample]:
-    """The median of placings, and what 99 in 100 of them stay within."""
+def _percentiles(times: list[float], inputs: dict[str, float], series: str = "module.place") -> list[Sample]:
+    """Return the median and the 99th percentile of placement times."""
     return [
         Sample(series, "us", inputs, median(times) * _US),
         Sample(f"{series}_p99", "us", inputs, float(np.percentile(times, 99)) * _US),
@@ -43,97 +43,101 @@
 
 
 def over_servers(sizes: Sizes, seed: int) -> Iterator[Sample]:
-    """The list, its changes and placings, by the number of servers."""
+    """Measure full lists, list changes and placements by the number of servers."""
     for servers in sizes.servers:
         driver = Driver(servers, sizes.at_balancers, sizes.groups, seed)
         inputs: dict[str, float] = {"servers": servers}
-        yield Sample("module.whole_list", "ms", inputs, driver.tell_whole() * _MS)
-        driver.placings(sizes.groups)  # the first of a group sorts the list for it
-        yield from _placed(driver.placings(sizes.placings), _inputs(sizes, sizes.groups, servers=servers))
+        yield Sample("module.whole_list", "ms", inputs, driver.send_full_list() * _MS)
+        driver.time_placements(sizes.groups)  # the first placement of a group sorts the list
+        yield from _percentiles(
+            driver.time_placements(sizes.placements), _inputs(sizes, sizes.groups, servers=servers)
+        )
         changes, after = [], []
         for _ in range(sizes.changes):
-            changes.append(driver.tell_change())
-            after += driver.placings(1)
+            changes.append(driver.send_change())
+            after += driver.time_placements(1)
         yield Sample("module.one_change", "ms", inputs, median(changes) * _MS)
         yield Sample("module.place_after_change", "us", inputs, median(after) * _US)
 
 
-def over_standing(sizes: Sizes, seed: int) -> Iterator[Sample]:
-    """Placings by own standing connections, which share groups and were placed one by one."""
+def over_connections(sizes: Sizes, seed: int) -> Iterator[Sample]:
+    """Measure placements by the number of own connections, which share groups and were placed one by one."""
     driver = Driver(sizes.at_servers, sizes.at_balancers, sizes.groups, seed)
-    driver.tell_whole()
-    for standing in sizes.standing:
-        while len(driver.standing) < standing:
+    driver.send_full_list()
+    for connections in sizes.connections:
+        while len(driver.connections) < connections:
             driver.place()
-        yield from _placed(driver.placings(sizes.placings), _inputs(sizes, sizes.groups, standing=standing))
+        yield from _percentiles(
+            driver.time_placements(sizes.placements), _inputs(sizes, sizes.groups, standing=connections)
+        )
 
 
 def over_own_groups(sizes: Sizes, seed: int) -> Iterator[Sample]:
-    """The same with a group for each connection, which was inherited at a server drawn at random."""
+    """Measure placements by the number of inherited connections, each with its own group."""
     driver = Driver(sizes.at_servers, sizes.at_balancers, 0, seed)
-    driver.tell_whole()
-    for standing in sizes.standing:
-        while len(driver.standing) < standing:
+    driver.send_full_list()
+    for connections in sizes.connections:
+        while len(driver.connections) < connections:
             driver.inherit()
-        times = driver.placings(sizes.placings)
-        yield from _placed(times, _inputs(sizes, 0, standing=standing), "module.place_own_groups")
+        times = driver.time_placements(sizes.placements)
+        yield from _percentiles(times, _inputs(sizes, 0, standing=connections), "module.place_own_groups")
 
 
 def over_balancers(sizes: Sizes, seed: int) -> Iterator[Sample]:
-    """Placings by the number of balancers that the settings tell."""
+    """Measure placements by the configured number of balancers."""
     for balancers in sizes.balancers:
         driver = Driver(sizes.at_servers, balancers, sizes.groups, seed)
-        driver.tell_whole()
-        driver.placings(sizes.groups)
-        times = driver.placings(sizes.placings)
-        yield from _placed(times, _inputs(sizes, sizes.groups, balancers=balancers))
+        driver.send_full_list()
+        driver.time_placements(sizes.groups)
+        times = driver.time_placements(sizes.placements)
+        yield from _percentiles(times, _inputs(sizes, sizes.groups, balancers=balancers))
 
 
 def over_timers(sizes: Sizes, seed: int) -> Iterator[Sample]:
-    """A wake-up that runs one call, asks for another and for the next wake-up, with many others pending."""
+    """Measure a wake-up that runs one timer and schedules another, by the number of pending timers."""
     for pending in sizes.timers:
         rng, timers, now = random.Random(seed), Timers(), 0.0
         for _ in range(pending):
             timers.call_at(1e9 * (1.0 + rng.random()), int)
-        began = time.process_time()
+        started_at = time.process_time()
         for _ in range(sizes.wake_ups):
             now += 1.0
             timers.call_at(now, int)
             timers.next_wakeup(now)
             timers.run_due(now)
             timers.next_wakeup(now)
-        seconds = time.process_time() - began
+        seconds = time.process_time() - started_at
         yield Sample("module.timers", "us", {"timers": pending}, seconds / sizes.wake_ups * _US)
 
 
-def _held() -> int:
+def _traced_bytes() -> int:
     gc.collect()
     return tracemalloc.get_traced_memory()[0]
 
 
 def list_bytes(sizes: Sizes, seed: int) -> Iterator[Sample]:
-    """Memory of the module by the number of servers, the list that told them let go."""
+    """Measure the memory of the module by the number of servers, without the list passed to it."""
     for servers in sizes.servers:
         tracemalloc.start()
         driver = Driver(1, sizes.at_balancers, sizes.groups, seed)
-        before = _held()
-        told = [Server(f"s-{seed}-{n:06}", f"z{n % 26}", state=ServerState.LIVE) for n in range(servers)]
-        driver.handle(ServerList(ListKind.REPLACE, told))
-        del told
-        yield Sample("module.list_bytes", "B", {"servers": servers}, _held() - before)
+        before = _traced_bytes()
+        entries = [Server(f"s-{seed}-{n:06}", f"z{n % 26}", state=ServerState.LIVE) for n in range(servers)]
+        driver.handle(ServerList(ListKind.REPLACE, entries))
+        del entries
+        yield Sample("module.list_bytes", "B", {"servers": servers}, _traced_bytes() - before)
         tracemalloc.stop()
 
 
-def standing_bytes(sizes: Sizes, seed: int) -> Iterator[Sample]:
-    """Memory of the module by own standing connections, their ids among it; beside the list's."""
+def connection_bytes(sizes: Sizes, seed: int) -> Iterator[Sample]:
+    """Measure the memory of the module by own connections, with their ids and without the server list."""
     driver = Driver(sizes.at_servers, sizes.at_balancers, sizes.groups, seed)
-    driver.tell_whole()
+    driver.send_full_list()
     tracemalloc.start()
-    before = _held()
-    for standing in sizes.standing:
-        while len(driver.standing) < standing:
+    before = _traced_bytes()
+    for connections in sizes.connections:
+        while len(driver.connections) < connections:
             driver.inherit()
-        inputs: dict[str, float] = {"servers": sizes.at_servers, "standing": standing}
-        book = sys.getsizeof(driver.standing)  # the driver's own, and not the module's
-        yield Sample("module.standing_bytes", "B", inputs, _held() - before - book)
+        inputs: dict[str, float] = {"servers": sizes.at_servers, "standing": connections}
+        driver_bytes = sys.getsizeof(driver.connections)  # not part of the module
+        yield Sample("module.standing_bytes", "B", inputs, _traced_bytes() - before - driver_bytes)
     tracemalloc.stop()
--- a/benchmarks/scale/parts.py
+++ b/benchmarks/scale/parts.py
@@ -1,4 +1,4 @@
-"""The parts of a measurement. Each is run once a seed, in a process of its own."""
+"""The parts of a measurement. Each part runs once for each seed, in its own process."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 @dataclass(frozen=True)
 class Part:
-    """Series that are measured together."""
+    """Series that are measured together, and how."""
 
     name: str
     series: tuple[str, ...]
-    cores: float  # that it keeps busy, about, helpers among them
+    cores: float  # approximate use, including its helper processes
     measure: Measure
 
-    def wanted(self, prefixes: tuple[str, ...]) -> bool:
-        """Whether any of its series begins with any of these."""
+    def matches(self, prefixes: tuple[str, ...]) -> bool:
+        """Whether the name of any of its series starts with one of the prefixes."""
         return any(name.startswith(prefixes) for name in self.series)
 
 
@@ -37,20 +37,20 @@
 _LINES = ("data.line_us", "data.core_pct")
 _ZONE = ("failure.zone_arrivals", "failure.zone_seconds")
 _LIST = ("list.core_pct", "list.calls_per_s", "list.bytes_per_s", "list.call_us")
-_TOLD = ("list.told_p50", "list.told_p99", "list.told_last", "list.change_us")
+_PROPAGATION = ("list.told_p50", "list.told_p99", "list.told_last", "list.change_us")
 _RESET = ("failure.reset_all_last",)
 
 
 def parts(sizes: Sizes) -> list[Part]:
-    """All parts at these sizes, the longest first, so that short ones fill the gaps at the end."""
-    made = [
-        Part("rest", _REST + _CONNECTION, 0.6, data.rest),
+    """Return all parts, longest first so that short ones fill the remaining cores at the end."""
+    found = [
+        Part("rest", _REST + _CONNECTION, 0.6, data.idle_connections),
         Part("own_groups", _OWN_GROUPS, 1.0, module.over_own_groups),
         Part("servers", _SERVERS + _PLACE, 1.0, module.over_servers),
-        Part("standing", _PLACE, 1.0, module.over_standing),
-        Part("lines", _LINES, 0.8, data.lines),
-        Part("control", _CONTROL + _RESTART, 0.6, control.control),
-        Part("standing_bytes", ("module.standing_bytes",), 1.0, module.standing_bytes),
+        Part("standing", _PLACE, 1.0, module.over_connections),
+        Part("lines", _LINES, 0.8, data.forwarded_lines),
+        Part("control", _CONTROL + _RESTART, 0.6, control.measure_idle),
+        Part("standing_bytes", ("module.standing_bytes",), 1.0, module.connection_bytes),
         Part("list_bytes", ("module.list_bytes",), 1.0, module.list_bytes),
         Part("zone", _ZONE, 1.0, failure.lost_zone),
         Part("balancers", _PLACE, 1.0, module.over_balancers),
@@ -59,17 +59,17 @@
     for number in reversed(sizes.watchers):
         busy = min(1.0, 0.1 + number / 1_000)
         for ms in sizes.service_ms:
-            measure = partial(_list, number, ms)
-            made.append(Part(f"list-{number}-{ms:g}", _LIST + _TOLD, busy, measure))
+            measure = partial(_watch_part, number, ms)
+            found.append(Part(f"list-{number}-{ms:g}", _LIST + _PROPAGATION, busy, measure))
         for ms in sizes.reset_service_ms:
-            measure = partial(_reset, number, ms)
-            made.append(Part(f"reset-{number}-{ms:g}", _RESET, busy, measure))
-    return made
+            measure = partial(_reset_part, number, ms)
+            found.append(Part(f"reset-{number}-{ms:g}", _RESET, busy, measure))
+    return found
 
 
-def _list(number: int, ms: float, sizes: Sizes, seed: int) -> Iterable[Sample]:
-    return lists.watches(sizes, number, ms, seed)
+def _watch_part(number: int, ms: float, sizes: Sizes, seed: int) -> Iterable[Sample]:
+    return lists.measure_watches(sizes, number, ms, seed)
 
 
-def _reset(number: int, ms: float, sizes: Sizes, seed: int) -> Iterable[Sample]:
-    return lists.resets(sizes, number, ms, seed)
+def _reset_part(number: int, ms: float, sizes: Sizes, seed: int) -> Iterable[Sample]:
+    return lists.measure_resets(sizes, number, ms, seed)
--- a/benchmarks/scale/peers.py
+++ b/benchmarks/scale/peers.py
@@ -1,8 +1,12 @@
-"""Line servers and clients that stand, all in one process of their own.
+"""Helper process: servers and clients of the line protocol on both sides of a balancer.
 
-python -m benchmarks.scale.peers SERVERS; its first line lists the servers' HOST:PORT. Commands: `stand PORT
-NUMBER` (clients that stand in all through the balancer at PORT), `lines PER_SECOND SECONDS` (the servers send
-lines over connections in turn; what came to the clients), `count` (those that stand).
+python -m benchmarks.scale.peers SERVERS
+
+It prints the HOST:PORT of each server first. Commands:
+
+- `stand PORT NUMBER`: establish connections through the balancer at PORT until there are NUMBER in total
+- `lines PER_SECOND SECONDS`: send lines from the servers over all connections in turn, count those received
+- `count`: the number of established connections
 """
 
 from __future__ import annotations
@@ -12,52 +16,52 @@
 import sys
 import time
 
-from benchmarks.scale.processes import obey
+from benchmarks.scale.processes import serve_commands
 from puffinford.standins.listeners import HOST
 
 LINE = b"m" * 98 + b"\r\n"  # 100 bytes
-AT_ONCE = 16  # clients that are being set up together
-TRIES = 20  # of one client
-ANSWER_WITHIN = 4.0  # seconds, from connecting to UP
-BURSTS = 200  # a second: lines are sent in so many bursts
+MAX_CONCURRENT_SETUPS = 16
+MAX_ATTEMPTS = 20  # per client
+ANSWER_TIMEOUT_S = 4.0  # from connecting to UP
+BURSTS_PER_S = 200  # lines are sent in bursts
 
 
 class PeerConnection(asyncio.Protocol):
-    """One server's end of a connection: UP to its opening, then lines as told."""
+    """The server side of a connection: answers OPEN with UP, then sends lines on command."""
 
-    def __init__(self, legs: dict[PeerConnection, None]) -> None:
-        self._legs = legs
-        self._rest = b""
+    def __init__(self, connections: dict[PeerConnection, None]) -> None:
+        self._connections = connections
+        self._received = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        if self in self._legs:
+        if self in self._connections:
             return
-        self._rest += data
-        first, sign, _ = self._rest.partition(b"\n")
-        if not sign:
+        self._received += data
+        first, newline, _ = self._received.partition(b"\n")
+        if not newline:
             return
         if first.startswith(b"OPEN "):
-            self._legs[self] = None
+            self._connections[self] = None
             self.transport.write(b"UP r-" + first.split(b" ")[1] + b"\r\n")
         else:
             self.transport.write(b"PONG\r\n")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._legs.pop(self, None)
+        self._connections.pop(self, None)
 
 
 class Client(asyncio.Protocol):
-    """One client's end: its opening, then a count of the lines that come."""
+    """The client side of a connection: sends OPEN, then counts received lines."""
 
-    def __init__(self, peers: Peers, job: str, group: str) -> None:
+    def __init__(self, peers: Peers, request_id: str, group: str) -> None:
         self._peers = peers
-        self._opening = f"OPEN {job} {group} c=chat,t=m1,d=2000,g={group}\r\n".encode()
+        self._opening = f"OPEN {request_id} {group} c=chat,t=m1,d=2000,g={group}\r\n".encode()
         self.answered: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self._standing = False
+        self._established = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -65,17 +69,17 @@
         transport.write(self._opening)
 
     def data_received(self, data: bytes) -> None:
-        if self._standing:
+        if self._established:
             self._peers.received += data.count(b"\n")
             return
-        self._standing = data.startswith(b"UP ")
-        self._peers.standing += self._standing
+        self._established = data.startswith(b"UP ")
+        self._peers.established += self._established
         if not self.answered.done():
-            self.answered.set_result(self._standing)
+            self.answered.set_result(self._established)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._peers.standing -= self._standing
-        self._standing = False
+        self._peers.established -= self._established
+        self._established = False
         if not self.answered.done():
             self.answered.set_result(False)
 
@@ -84,23 +88,23 @@
     """All servers and clients of a measurement."""
 
     def __init__(self) -> None:
-        self.standing = 0
-        self.received = 0  # lines, by all clients
-        self.failed = 0  # tries that did not stand
-        self._legs: dict[PeerConnection, None] = {}
+        self.established = 0
+        self.received = 0  # lines received by all clients
+        self.failed = 0  # attempts without an established connection
+        self._connections: dict[PeerConnection, None] = {}
         self._numbers = itertools.count()
         self._servers: list[asyncio.Server] = []
 
     async def listen(self) -> str:
-        """One more server; its HOST:PORT."""
+        """Start another server and return its HOST:PORT."""
         loop = asyncio.get_running_loop()
-        server = await loop.create_server(lambda: PeerConnection(self._legs), HOST, 0, backlog=1_024)
+        server = await loop.create_server(lambda: PeerConnection(self._connections), HOST, 0, backlog=1_024)
         self._servers.append(server)
         return f"{HOST}:{server.sockets[0].getsockname()[1]}"
 
-    async def _join(self, port: int) -> None:
+    async def _connect_client(self, port: int) -> None:
         loop = asyncio.get_running_loop()
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             number = next(self._numbers)
             _, client = await loop.create_connection(
                 lambda number=number: Client(self, f"{number:016x}", f"{number % 100:x}"),  # type: ignore[misc]
@@ -108,7 +112,7 @@
                 port,
             )
             try:
-                if await asyncio.wait_for(asyncio.shield(client.answered), ANSWER_WITHIN):
+                if await asyncio.wait_for(asyncio.shield(client.answered), ANSWER_TIMEOUT_S):
                     return
             except TimeoutError:
                 pass
@@ -116,41 +120,43 @@
             self.failed += 1
             await asyncio.sleep(0.2)
 
-    async def _stand(self, port: int, number: int) -> None:
-        missing = number - self.standing
-        for first in range(0, missing, AT_ONCE):
-            await asyncio.gather(*(self._join(port) for _ in range(min(AT_ONCE, missing - first))))
-
-    async def _send(self, per_second: float, seconds: float) -> None:
-        """Lines over the connections in turn, at even distances."""
-        began, sent = time.monotonic(), 0
-        legs = list(self._legs)
-        while (now := time.monotonic()) < began + seconds:
-            due = int((now - began) * per_second)
-            while sent < due:
-                legs[sent % len(legs)].transport.write(LINE)
+    async def _establish(self, port: int, number: int) -> None:
+        missing = number - self.established
+        for first in range(0, missing, MAX_CONCURRENT_SETUPS):
+            await asyncio.gather(
+                *(self._connect_client(port) for _ in range(min(MAX_CONCURRENT_SETUPS, missing - first)))
+            )
+
+    async def _send_lines(self, per_second: float, seconds: float) -> None:
+        """Send lines over the connections in turn, evenly spaced."""
+        started_at, sent = time.monotonic(), 0
+        connections = list(self._connections)
+        while (now := time.monotonic()) < started_at + seconds:
+            due_lines = int((now - started_at) * per_second)
+            while sent < due_lines:
+                connections[sent % len(connections)].transport.write(LINE)
                 sent += 1
-            await asyncio.sleep(1.0 / BURSTS)
+            await asyncio.sleep(1.0 / BURSTS_PER_S)
 
     async def handle(self, words: list[str]) -> object:
-        """Answer one command."""
+        """Run one command."""
         match words:
             case ["stand", port, number]:
-                await self._stand(int(port), int(number))
-                return {"standing": self.standing, "failed": self.failed}
+                await self._establish(int(port), int(number))
+                return {"standing": self.established, "failed": self.failed}
             case ["lines", per_second, seconds]:
-                was, began = self.received, time.monotonic()
-                await self._send(float(per_second), float(seconds))
-                return {"lines": self.received - was, "seconds": time.monotonic() - began}
+                before, started_at = self.received, time.monotonic()
+                await self._send_lines(float(per_second), float(seconds))
+                return {"lines": self.received - before, "seconds": time.monotonic() - started_at}
             case ["count"]:
-                return self.standing
-        raise ValueError(f"{words} is no command")
+                return self.established
+        raise ValueError(f"unknown command: {words}")
 
 
 async def serve(servers: int) -> None:
-    """Run until the input ends."""
+    """Serve until standard input is closed."""
     peers = Peers()
-    await obey(peers.handle, [await peers.listen() for _ in range(servers)])
+    await serve_commands(peers.handle, [await peers.listen() for _ in range(servers)])
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -1,6 +1,6 @@
-"""Helper processes of a measurement, which are told what to do in lines, and the cost of any process.
+"""Helper processes of a measurement, and the processor time and memory of any process.
 
-Each helper reads commands from its standard input, a line each, and answers each with a line of JSON.
+A helper process reads one command per line from standard input and answers each with a line of JSON.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 import anyio
 
-from benchmarks.scale.samples import NotHeld
+from benchmarks.scale.samples import SizeNotReached
 
 MIB = 2.0**20
 _NS = 1e9
-_END_WITHIN = 5.0  # seconds
+_STOP_TIMEOUT_S = 5.0
 
 
 def cpu_seconds(pid: int) -> float:
-    """Seconds of processor time that all threads of a process have taken, by the scheduler's count of ns."""
+    """Return the processor time (s) of all threads of a process, from the scheduler's count in ns."""
     total = 0
     for task in Path(f"/proc/{pid}/task").iterdir():
         with contextlib.suppress(FileNotFoundError):
@@ -33,29 +33,29 @@
 
 
 def resident_mib(pid: int) -> float:
-    """Memory that a process holds."""
+    """Return the resident memory of a process in MiB."""
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE") / MIB
 
 
-class Helper:
-    """A module of this package as a process of its own."""
+class HelperProcess:
+    """A module of this package that runs as a helper process."""
 
-    def __init__(self, module: str, *words: object) -> None:
+    def __init__(self, module: str, *arguments: object) -> None:
         self.module = module
-        command = [sys.executable, "-m", f"benchmarks.scale.{module}", *map(str, words)]
+        command = [sys.executable, "-m", f"benchmarks.scale.{module}", *map(str, arguments)]
         self._process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
-        self.ready = self._answer()  # the helper's first line, written once it is there
+        self.ready = self._answer()  # the first line, which the helper writes when it is ready
 
     @property
     def pid(self) -> int:
         return self._process.pid
 
-    def ask(self, *words: object) -> Any:
-        """Tell it a command; what it answers. Raises NotHeld where it has ended."""
+    def send_command(self, *arguments: object) -> Any:
+        """Send a command and return the answer. Raises SizeNotReached if the process has exited."""
         assert self._process.stdin is not None
         with contextlib.suppress(BrokenPipeError):
-            self._process.stdin.write(" ".join(map(str, words)).encode() + b"\n")
+            self._process.stdin.write(" ".join(map(str, arguments)).encode() + b"\n")
             self._process.stdin.flush()
         return self._answer()
 
@@ -63,16 +63,16 @@
         assert self._process.stdout is not None
         line = self._process.stdout.readline()
         if not line:
-            raise NotHeld(f"{self.module}: its process ended with {self._process.wait()}")
+            raise SizeNotReached(f"{self.module}: helper process exited with code {self._process.wait()}")
         return json.loads(line)
 
     def stop(self) -> None:
-        """End it: it ends by itself when its input ends."""
+        """Close its standard input, which makes it exit; kill it after _STOP_TIMEOUT_S."""
         assert self._process.stdin is not None and self._process.stdout is not None
         with contextlib.suppress(BrokenPipeError):
             self._process.stdin.close()
         try:
-            self._process.wait(_END_WITHIN)
+            self._process.wait(_STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self._process.kill()
             self._process.wait()
@@ -80,17 +80,17 @@
 
 
 @contextlib.contextmanager
-def helper(module: str, *words: object) -> Iterator[Helper]:
-    """A helper process for as long as the scope lasts."""
-    made = Helper(module, *words)
+def helper_process(module: str, *arguments: object) -> Iterator[HelperProcess]:
+    """Yield a helper process and stop it on exit."""
+    process = HelperProcess(module, *arguments)
     try:
-        yield made
+        yield process
     finally:
-        made.stop()
+        process.stop()
 
 
-async def obey(handle: Callable[[list[str]], Awaitable[object]], ready: object) -> None:
-    """The helper's side: say that it is there, then answer commands until its input ends."""
+async def serve_commands(handle: Callable[[list[str]], Awaitable[object]], ready: object) -> None:
+    """Run in the helper process: print `ready`, then answer commands until standard input is closed."""
     print(json.dumps(ready), flush=True)
     while True:
         line = await anyio.to_thread.run_sync(sys.stdin.readline, abandon_on_cancel=True)
--- a/benchmarks/scale/records.py
+++ b/benchmarks/scale/records.py
@@ -1,7 +1,7 @@
-"""Typed records of what was measured, as they are committed under `benchmarks/scale/results/`.
+"""Typed records of the results that are committed under `benchmarks/scale/results/`.
 
-`slopes.json` holds a `SlopeResults`, `runs.json` a `RunResults`. A file that is missing, of another schema or
-holds a value out of its bounds is refused with its place and value.
+`slopes.json` holds a `SlopeResults`, `runs.json` a `RunResults`. A file that is missing, has another schema
+or contains a value out of bounds is rejected; the error names the place and the value.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 import msgspec
 
-SCHEMA = 1  # of the files; one of another number is refused
+SCHEMA = 1  # version of the file format
 RESULTS = Path(__file__).with_name("results")
 SLOPES = RESULTS / "slopes.json"
 RUNS = RESULTS / "runs.json"
@@ -29,11 +29,11 @@
 
 
 class BadRecord(Exception):
-    """A file of results or targets cannot be used; the text names place and value."""
+    """A file of results or targets is invalid; the text names the place and the value."""
 
 
 class MachineInfo(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The machine that was measured on."""
+    """The computer on which a measurement ran."""
 
     cores: Annotated[int, msgspec.Meta(ge=1)]
     memory_gib: NotNegative
@@ -42,30 +42,30 @@
 
 
 class Provenance(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where figures come from: machine, program and moment."""
+    """The origin of results: computer, program and time."""
 
     machine: MachineInfo
-    commit: Name  # of the program; with `+` behind it where the tree held changes beside it
+    commit: Name  # of the program, with a `+` suffix if the tree had uncommitted changes
     date: Name  # ISO 8601, UTC
-    remarks: str = ""  # what else ran on the machine, and other noise
+    remarks: str = ""  # what else ran at the same time, and other noise
 
 
 class Point(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One series measured at one size: a value for each run, in the series' unit."""
+    """One series at one size, with a value for each run in the unit of the series."""
 
     series: Name  # for example `module.one_change`
     unit: Name  # for example `ms`
     inputs: dict[str, NotNegative]  # for example {"servers": 1000}
     values: Annotated[list[float], msgspec.Meta(min_length=1)]
     seeds: list[int] = []
-    measured: Count = 0  # its place in the results' `measured`: which machine, program and moment
+    measured: Count = 0  # index into `measured` of the results
 
 
 class Fit(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A straight line by least squares through a series, over one of its inputs.
+    """A least-squares line through a series over one of its inputs.
 
-    `residual` is the root of the mean squared difference from the points, in the series' unit; `slope_low`
-    and `slope_high` are the least and greatest slope of the single runs.
+    `residual` is the root mean square error in the unit of the series. `slope_low` and `slope_high` are the
+    lowest and the highest slope of the single runs.
     """
 
     series: Name
@@ -75,7 +75,7 @@
     slope: float
     intercept: float
     residual: NotNegative
-    low: NotNegative  # the range of the input that was measured
+    low: NotNegative  # lowest and highest measured value of the input
     high: NotNegative
     runs: Annotated[int, msgspec.Meta(ge=1)]
     slope_low: float
@@ -83,7 +83,7 @@
 
 
 class SlopeResults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All series with their points and lines."""
+    """All series with their points and fitted lines."""
 
     schema: int
     measured: list[Provenance]
@@ -92,59 +92,59 @@
 
 
 class PropagationTimes(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Seconds from a change at the list service until it is in force, over balancers and changes."""
+    """Seconds from a change at the list service until balancers apply it, over all balancers and changes."""
 
     balancers: Count
     changes: Count
     p50_s: NotNegative
     p99_s: NotNegative
     last_s: NotNegative
-    missed: Count  # balancers that did not have the last change at the end
+    missed: Count  # balancers without the last change at the end
 
 
 class ScaleRun(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One run of hollow balancers beside real ones, directly at the list service or behind relays."""
+    """One run of hollow and real balancers, connected to the list service directly or through relays."""
 
     story: Name
     measured: Provenance
     hollow: Count
     processes: Count
     real: Count
-    relays: Count  # 0: every balancer asks the list service itself
+    relays: Count  # 0: balancers call the list service directly
     servers: Count
     seed: int
     seconds: NotNegative
     held: bool  # whether all balancers ran to the end
-    service_ms: NotNegative  # that the list service takes for a call
+    service_ms: NotNegative  # processing time of a call at the list service
     source_calls: Count
     source_calls_per_s: NotNegative
-    source_calls_peak: NotNegative  # in any one second
+    source_calls_peak: NotNegative  # in the busiest second
     source_bytes_per_s: NotNegative
     source_core_pct: NotNegative
     told_hollow: PropagationTimes
     told_real: PropagationTimes
     calls_per_balancer_s: NotNegative
     bytes_per_balancer_s: NotNegative
-    hollow_core_pct: NotNegative  # a hollow balancer, of one core
-    hollow_kib: NotNegative  # of resident memory a hollow balancer
-    real_core_pct: NotNegative  # a real balancer, of one core
-    real_mib: NotNegative  # of resident memory a real balancer
-    relay_core_pct: NotNegative = 0.0  # the mean relay, of one core
+    hollow_core_pct: NotNegative  # per hollow balancer, of one core
+    hollow_kib: NotNegative  # resident memory per hollow balancer
+    real_core_pct: NotNegative  # per real balancer, of one core
+    real_mib: NotNegative  # resident memory per real balancer
+    relay_core_pct: NotNegative = 0.0  # mean of the relays, of one core
     relay_core_pct_most: NotNegative = 0.0
     relay_mib: NotNegative = 0.0
-    relay_bytes_per_s: NotNegative = 0.0  # the mean relay, downstream
-    clients_per_balancer_s: NotNegative = 0.0  # that arrive
-    placed_hollow: Count = 0  # clients brought up at all hollow balancers
-    queue_most: Count = 0  # calls that waited for their turn at the list service together
+    relay_bytes_per_s: NotNegative = 0.0  # mean of the relays, downstream
+    clients_per_balancer_s: NotNegative = 0.0  # arrivals
+    placed_hollow: Count = 0  # connections established by all hollow balancers
+    queue_most: Count = 0  # longest queue of calls at the list service
     connections_reset: Count = 0  # by the list service
-    restarts: Count = 0  # of hollow balancers that were killed
-    late_p99_s: NotNegative = 0.0  # of the hollow processes' own loops: part of what they were told late by
-    lost_part: NotNegative = 0.0  # of the story, that the clock of the worst hollow process did not count
+    restarts: Count = 0  # of killed hollow balancers
+    late_p99_s: NotNegative = 0.0  # event loop lag of the hollow processes, part of their propagation times
+    lost_part: NotNegative = 0.0  # fraction of the story that the clock of the worst hollow process skipped
     hollow_gib: NotNegative = 0.0  # resident memory of all hollow processes
 
 
 class RunResults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All runs that a page may quote."""
+    """All stored runs."""
 
     schema: int
     runs: list[ScaleRun]
@@ -154,7 +154,7 @@
 
 
 def this_machine() -> MachineInfo:
-    """The machine that this process runs on."""
+    """Describe the computer that this process runs on."""
     memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / _GIB
     python = f"{platform.python_implementation()} {platform.python_version()}"
     system = f"{platform.system()} {platform.machine()}"
@@ -162,17 +162,17 @@
 
 
 def now_utc() -> str:
-    """The present moment for `Provenance.date`."""
+    """Return the current time for `Provenance.date`."""
     return datetime.now(UTC).isoformat(timespec="seconds")
 
 
 def read(path: Path, kind: type[Record]) -> Record:
-    """A file of results; raises BadRecord with the place and the value that are wrong."""
+    """Read a results file; raises BadRecord with the invalid place and value."""
     return parse(_bytes_of(path), kind, path.name)
 
 
 def write(path: Path, results: Record) -> None:
-    """Write a file of results, a value a line so that changes can be read; raises BadRecord on a bad one."""
+    """Write a results file, one value per line for readable diffs; raises BadRecord on an invalid value."""
     text = json.dumps(msgspec.to_builtins(results), indent=1, sort_keys=True) + "\n"
     parse(text.encode(), type(results), path.name)
     path.parent.mkdir(parents=True, exist_ok=True)
@@ -180,14 +180,14 @@
 
 
 def parse(text: bytes, kind: type[Record], name: str) -> Record:
-    """The results that a file of this name holds; raises BadRecord."""
+    """Parse the contents of the file `name`; raises BadRecord."""
     try:
         plain = json.loads(text)
     except (ValueError, RecursionError) as exc:
         raise BadRecord(f"{name}: not JSON: {exc}") from None
     for place, value in numbers_in(plain, "$"):
         if not math.isfinite(value):
-            raise BadRecord(f"{name}: {place}: {value} is no finite number")
+            raise BadRecord(f"{name}: {place}: {value} is not a finite number")
     schema = plain.get("schema") if isinstance(plain, dict) else None
     if schema != SCHEMA:
         raise BadRecord(f"{name}: $.schema: {schema!r} is not {SCHEMA}")
@@ -205,7 +205,7 @@
 
 
 def numbers_in(plain: Any, place: str) -> Iterator[tuple[str, float]]:
-    """Every floating-point number with its place, for JSON's reader takes NaN and Infinity."""
+    """Yield every float with its place, since the JSON parser accepts NaN and Infinity."""
     if isinstance(plain, float):
         yield place, plain
     elif isinstance(plain, dict):
@@ -217,13 +217,13 @@
 
 
 def value_at(plain: Any, message: str) -> str:
-    """The value at the place that a validation message names, where it names one."""
+    """Return the value at the place that a validation message names, or an empty text if it names none."""
     _, sign, place = message.rpartition(" - at `$")
     if not sign:
         return ""
     value = plain
     for step in place.rstrip("`").replace("[", ".").replace("]", "").split("."):
-        if step == "...":  # the place stands for a value of a mapping, whose key is not told
+        if step == "...":  # a value of a mapping, whose key the message omits
             return ""
         if step:
             value = value[int(step)] if isinstance(value, list) else value.get(step)
--- a/benchmarks/scale/runner.py
+++ b/benchmarks/scale/runner.py
@@ -1,4 +1,4 @@
-"""Runs parts beside each other, so many at once that the cores told are busy and no more."""
+"""Runs parts concurrently within a limit of cores."""
 
 from __future__ import annotations
 
@@ -13,41 +13,41 @@
 from benchmarks.scale.parts import Part
 from benchmarks.scale.samples import Sample, SampleList
 
-_ERROR_LINES = 3  # of a worker's traceback, that are shown
+_MAX_ERROR_LINES = 3  # shown of a worker's traceback
 
 
 @dataclass
 class Outcome:
-    """What one part came to: the samples of each run by seed, and why runs were not held."""
+    """The samples of one part by seed, and why runs of it failed."""
 
     runs: dict[int, list[Sample]] = field(default_factory=dict)
-    not_held: list[str] = field(default_factory=list)
+    failures: list[str] = field(default_factory=list)
 
 
-class Cores:
-    """How many cores are spoken for. One part may always run, whatever it needs."""
+class CoreBudget:
+    """Limits the cores in use. A single part may always run, whatever it needs."""
 
-    def __init__(self, most: float) -> None:
-        self._most = most
+    def __init__(self, limit: float) -> None:
+        self._limit = limit
         self._busy = 0.0
         self._changed = anyio.Condition()
 
-    async def take(self, cores: float) -> None:
-        """Wait until there is room for a part."""
+    async def acquire(self, cores: float) -> None:
+        """Wait until `cores` are free and reserve them."""
         async with self._changed:
-            while self._busy and self._busy + cores > self._most:
+            while self._busy and self._busy + cores > self._limit:
                 await self._changed.wait()
             self._busy += cores
 
-    async def give(self, cores: float) -> None:
-        """A part has ended."""
+    async def release(self, cores: float) -> None:
+        """Return the cores of a completed part."""
         async with self._changed:
             self._busy = max(0.0, self._busy - cores)
             self._changed.notify_all()
 
 
-async def _once(part: Part, seed: int, quick: bool, outcome: Outcome) -> None:
-    words = [
+async def _run_worker(part: Part, seed: int, quick: bool, outcome: Outcome) -> None:
+    command = [
         sys.executable,
         "-m",
         "benchmarks.scale.worker",
@@ -55,35 +55,40 @@
         str(seed),
         "quick" if quick else "full",
     ]
-    done = await anyio.run_process(words, check=False, stderr=subprocess.PIPE)
-    if done.returncode:
-        last = done.stderr.decode(errors="replace").strip().splitlines()[-_ERROR_LINES:]
-        outcome.not_held.append(f"{part.name}: seed {seed}: exit code {done.returncode}: {' | '.join(last)}")
+    completed = await anyio.run_process(command, check=False, stderr=subprocess.PIPE)
+    if completed.returncode:
+        last = completed.stderr.decode(errors="replace").strip().splitlines()[-_MAX_ERROR_LINES:]
+        outcome.failures.append(
+            f"{part.name}: seed {seed}: exit code {completed.returncode}: {' | '.join(last)}"
+        )
         return
-    found = msgspec.json.decode(done.stdout.splitlines()[-1], type=SampleList)
-    if found.not_held:
-        outcome.not_held.append(f"{part.name}: seed {seed}: {found.not_held}")
+    result = msgspec.json.decode(completed.stdout.splitlines()[-1], type=SampleList)
+    if result.failure:
+        outcome.failures.append(f"{part.name}: seed {seed}: {result.failure}")
         return
-    outcome.runs[seed] = found.samples
+    outcome.runs[seed] = result.samples
 
 
 async def run_all(
-    chosen: Sequence[Part], seeds: Sequence[int], quick: bool, cores: float, say: Callable[[str], None]
+    chosen: Sequence[Part], seeds: Sequence[int], quick: bool, cores: float, report: Callable[[str], None]
 ) -> dict[str, Outcome]:
-    """Every part with every seed, by the part's name; `say` hears of each that has ended."""
+    """Run every part with every seed; return the outcomes by part name.
+
+    `report` is called with a text after each completed run.
+    """
     outcomes = {part.name: Outcome() for part in chosen}
-    room = Cores(cores)
+    budget = CoreBudget(cores)
 
-    async def one(part: Part, seed: int) -> None:
+    async def run_part(part: Part, seed: int) -> None:
         try:
-            await _once(part, seed, quick, outcomes[part.name])
+            await _run_worker(part, seed, quick, outcomes[part.name])
         finally:
-            await room.give(part.cores)
-        say(f"{part.name} seed {seed}")
+            await budget.release(part.cores)
+        report(f"{part.name} seed {seed}")
 
     async with anyio.create_task_group() as tasks:
         for part in chosen:
             for seed in seeds:
-                await room.take(part.cores)
-                tasks.start_soon(one, part, seed)
+                await budget.acquire(part.cores)
+                tasks.start_soon(run_part, part, seed)
     return outcomes
--- a/benchmarks/scale/runs.py
+++ b/benchmarks/scale/runs.py
@@ -1,7 +1,7 @@
-"""`make bench-scale-runs`: stories of hollow balancers beside real ones, at a size told (docs/scale.md).
+"""`make bench-scale-runs`: stories with hollow and real balancers, at a given size (docs/scale.md).
 
-First hollow and real balancers are compared at one size; where they disagree nothing else is played, and the
-exit code is 1. A run that could not hold its size says so, is not kept, and the exit code is 2.
+First hollow and real balancers are compared at one size; if they disagree, no story is played and the exit
+code is 1. If a run does not reach its size, it is not saved and the exit code is 2.
 
 python -m benchmarks.scale.runs --hollow N --processes P --real R --story NAME [--relays K]
 """
@@ -17,7 +17,7 @@
 import anyio
 import click
 
-from benchmarks.scale.kept_runs import keep, record
+from benchmarks.scale.kept_runs import make_record, store_runs
 from benchmarks.scale.records import RUNS, BadRecord, Provenance, RunResults, now_utc, read, this_machine
 from puffinford.scale.messages import Crowd, Skip
 from puffinford.scale.outcome import RunOutcome
@@ -26,77 +26,79 @@
 from puffinford.scale.stories import DIRECT, FULL, STORIES, WITH_RELAYS, story
 from puffinford.text_table import format_table
 
-TWINS = 8  # hollow and as many real balancers that have to agree
-TWIN_SPAN = 12.0  # seconds
-TWIN_CROWD = Crowd(rate=2.0, life_ms=4_000.0)
-HEADS = (
-    "story", "hollow", "real", "told p50", "p99", "last", "missed", "real p99", "last", "missed", "calls/s",
+AGREEMENT_BALANCERS = 8  # of each kind
+AGREEMENT_SPAN_S = 12.0
+AGREEMENT_CROWD = Crowd(rate=2.0, life_ms=4_000.0)
+TABLE_HEADERS = (
+    "story", "hollow", "real", "delay p50", "p99", "last", "missed", "real p99", "last", "missed", "calls/s",
     "peak", "queue", "list cpu %", "hollow cpu %", "B/s", "KiB", "late p99", "lost",
 )  # fmt: skip
 
 
-def agreement_plan(seed: int, skip: Skip = Skip.NOTHING, span: float = TWIN_SPAN) -> RunPlan:
-    """The run in which hollow and real balancers have to agree."""
+def agreement_plan(seed: int, skip: Skip = Skip.NOTHING, span: float = AGREEMENT_SPAN_S) -> RunPlan:
+    """Return the plan of the run in which hollow and real balancers are compared."""
     return RunPlan(
         story=story("busy", span),
-        hollow=TWINS,
+        hollow=AGREEMENT_BALANCERS,
         processes=1,
-        real=TWINS,
+        real=AGREEMENT_BALANCERS,
         seed=seed,
-        crowd=TWIN_CROWD,
+        crowd=AGREEMENT_CROWD,
         twins=True,
         skip=skip,
     )
 
 
 def play(plan: RunPlan) -> RunOutcome:
-    """One run, whose logs go with it; raises NotHeld."""
+    """Play one run in a temporary directory; raises NotHeld."""
     with tempfile.TemporaryDirectory() as directory:
         return anyio.run(Run(plan, Path(directory)).play)
 
 
-def commit() -> str:
-    """The program's commit, with `+` behind it where the tree holds changes beside it."""
-    words = ["git", "describe", "--always", "--dirty=+", "--abbrev=7", "--exclude=*"]
-    return subprocess.run(words, capture_output=True, text=True, check=True).stdout.strip()
+def current_commit() -> str:
+    """Return the commit of the program, with a `+` suffix if the tree has uncommitted changes."""
+    arguments = ["git", "describe", "--always", "--dirty=+", "--abbrev=7", "--exclude=*"]
+    return subprocess.run(arguments, capture_output=True, text=True, check=True).stdout.strip()
 
 
 def row(run: RunOutcome) -> tuple[object, ...]:
-    """A run as a line of the table."""
-    ours, theirs, load = run.hollow_told, run.real_told, run.hollow_load
+    """Return the table row of a run."""
+    hollow, real, load = run.hollow_told, run.real_told, run.hollow_load
     lists, late = run.list_service, run.lateness
     size = "-" if load.bytes_a_second is None else f"{load.bytes_a_second:.0f}"
     return (
-        run.story, run.hollow, run.real, ours.p50_ms, ours.p99_ms, ours.last_ms, ours.missed, theirs.p99_ms,
-        theirs.last_ms, theirs.missed, lists.calls_a_second, lists.calls_peak, lists.queue_most,
+        run.story, run.hollow, run.real, hollow.p50_ms, hollow.p99_ms, hollow.last_ms, hollow.missed,
+        real.p99_ms, real.last_ms, real.missed, lists.calls_a_second, lists.calls_peak, lists.queue_most,
         lists.cpu_percent, f"{load.cpu_percent:.3f}", size, load.resident_kib, late.p99_ms, late.lost_part,
     )  # fmt: skip
 
 
 def summary(runs: list[RunOutcome], disagreements: int | None) -> str:
-    """The one line."""
-    pieces = [] if disagreements is None else [f"disagreements={disagreements}"]
+    """Return the summary line."""
+    fields = [] if disagreements is None else [f"disagreements={disagreements}"]
     for run in runs:
         name = run.story.replace("-", "_")
-        pieces += [
+        fields += [
             f"{name}_held={int(run.held)}",
             f"{name}_p99_ms={run.hollow_told.p99_ms:.0f}",
             f"{name}_last_ms={run.hollow_told.last_ms:.0f}",
             f"{name}_missed={run.hollow_told.missed + run.real_told.missed}",
             f"{name}_calls_a_second={run.list_service.calls_a_second:.0f}",
         ]
-    return "bench scale-runs " + " ".join(pieces)
+    return "bench scale-runs " + " ".join(fields)
 
 
 @click.command()
 @click.option("--hollow", default=1_000, show_default=True, help="hollow balancers")
 @click.option("--processes", default=4, show_default=True, help="processes that hold them")
 @click.option("--real", default=4, show_default=True, help="real balancers beside them")
-@click.option("--relays", default=0, show_default=True, help="relays between; 0: none")
+@click.option("--relays", default=0, show_default=True, help="relays before the list service; 0: none")
 @click.option("--story", "names", type=click.Choice([*STORIES, "all"]), multiple=True, default=("all",))
 @click.option("--servers", default=100, show_default=True)
-@click.option("--service-ms", default=0.0, show_default=True, help="what a call takes at the list service")
-@click.option("--rate", default=0.05, show_default=True, help="arrivals a second at each balancer")
+@click.option(
+    "--service-ms", default=0.0, show_default=True, help="processing time of a call at the list service"
+)
+@click.option("--rate", default=0.05, show_default=True, help="arrivals per second at each balancer")
 @click.option("--span", default=FULL, show_default=True, help="seconds of a story")
 @click.option("--seed", default=1, show_default=True)
 @click.option("--agreement/--no-agreement", default=True, show_default=True, help="compare first")
@@ -117,7 +119,7 @@
     results: Path,
     remarks: str,
 ) -> None:
-    """Play stories, print a table and the one line, and keep the records."""
+    """Play stories, print a table and the summary line, and save the results."""
     disagreements = None
     plan = RunPlan(
         story=story("calm", span),
@@ -142,36 +144,36 @@
         sys.exit(2)
     try:
         if agreement:
-            disagreements = _agree(seed, runs)
+            disagreements = _check_agreement(seed, runs)
         for name in chosen:
             if name in WITH_RELAYS and not relays:
                 raise click.UsageError(f"{name} needs --relays")
             runs.append(play(replace(plan, story=story(name, span))))
             click.echo(f"{name}: {runs[-1].why or 'held'}", err=True)
     except NotHeld as exc:
-        _say(runs, disagreements)
+        _print_results(runs, disagreements)
         click.echo(f"size not held: {exc}", err=True)
         sys.exit(2)
-    _say(runs, disagreements)
-    measured = Provenance(this_machine(), commit(), now_utc(), remarks)
-    keep(results, [record(run, measured) for run in runs if run.held])
+    _print_results(runs, disagreements)
+    measured = Provenance(this_machine(), current_commit(), now_utc(), remarks)
+    store_runs(results, [make_record(run, measured) for run in runs if run.held])
     sys.exit(0 if all(run.held for run in runs) else 2)
 
 
-def _agree(seed: int, runs: list[RunOutcome]) -> int:
-    """Hollow and real at one size; ends with exit code 1 where they disagree."""
+def _check_agreement(seed: int, runs: list[RunOutcome]) -> int:
+    """Compare hollow and real balancers; exits with code 1 if they disagree."""
     run = play(agreement_plan(seed))
     runs.append(run)
     for found in run.disagreements:
         click.echo(f"{found.figure}: hollow {found.hollow}, real {found.real}, bound {found.bound}", err=True)
     if run.disagreements:
-        _say(runs, len(run.disagreements))
+        _print_results(runs, len(run.disagreements))
         sys.exit(1)
     return 0
 
 
-def _say(runs: list[RunOutcome], disagreements: int | None) -> None:
-    click.echo(format_table(HEADS, [row(run) for run in runs]))
+def _print_results(runs: list[RunOutcome], disagreements: int | None) -> None:
+    click.echo(format_table(TABLE_HEADERS, [row(run) for run in runs]))
     click.echo(summary(runs, disagreements))
 
 
--- a/benchmarks/scale/samples.py
+++ b/benchmarks/scale/samples.py
@@ -1,4 +1,4 @@
-"""What one run measures, before runs are gathered into the points of `records`."""
+"""Samples of single runs, and their aggregation into points."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from benchmarks.scale.records import Point
 
 
-class NotHeld(Exception):
-    """A run could not hold the size that it was told; the text says how far it got."""
+class SizeNotReached(Exception):
+    """A run did not reach or sustain the requested size; the text states what was reached."""
 
 
 class Sample(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One value of a series at one size, in the series' unit."""
+    """One value of a series at one size, in the unit of the series."""
 
     series: str
     unit: str
@@ -23,37 +23,37 @@
 
 
 class SampleList(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a worker process prints as its last line: its samples, or why it could not hold its size."""
+    """The last line of a worker's output: its samples, or why it did not reach its size."""
 
     samples: list[Sample]
-    not_held: str = ""
+    failure: str = ""
 
 
 Key = tuple[str, tuple[tuple[str, float], ...]]
 
 
-def key_of(series: str, inputs: dict[str, float]) -> Key:
-    """What a point is known by: its series and its inputs, in whatever order these are told."""
+def point_key(series: str, inputs: dict[str, float]) -> Key:
+    """Return the identity of a point: its series and its inputs, independent of their order."""
     return series, tuple(sorted(inputs.items()))
 
 
 def gather(runs: Sequence[Iterable[Sample]], seeds: Sequence[int], measured: int) -> list[Point]:
-    """The points of runs: a value a run where a series was measured at a size, in the order of the runs."""
-    found: dict[Key, list[Sample]] = {}
-    of: dict[Key, list[int]] = {}
+    """Group the samples of runs into points, with the values in the order of the runs."""
+    samples_by_key: dict[Key, list[Sample]] = {}
+    seeds_by_key: dict[Key, list[int]] = {}
     for seed, run in zip(seeds, runs, strict=True):
         for sample in run:
-            key = key_of(sample.series, sample.inputs)
-            found.setdefault(key, []).append(sample)
-            of.setdefault(key, []).append(seed)
+            key = point_key(sample.series, sample.inputs)
+            samples_by_key.setdefault(key, []).append(sample)
+            seeds_by_key.setdefault(key, []).append(seed)
     return [
         Point(
             series=samples[0].series,
             unit=samples[0].unit,
             inputs=samples[0].inputs,
             values=[sample.value for sample in samples],
-            seeds=of[key],
+            seeds=seeds_by_key[key],
             measured=measured,
         )
-        for key, samples in found.items()
+        for key, samples in samples_by_key.items()
     ]
--- a/benchmarks/scale/watchers.py
+++ b/benchmarks/scale/watchers.py
@@ -1,9 +1,13 @@
-"""Many watches of one list service in a process of their own.
+"""Helper process: many watches of one list service.
 
-python -m benchmarks.scale.watchers HOST:PORT NUMBER KIND SEED; its first line tells its number. KIND is
-`scripted` (cheap: a call after the other, which waits as long as it takes) or `program` (the program's own
-list client and the decision module's backoff, with fronts left out). Commands: `listed` (watches that have a
-list), `told VERSION` (the moments at which watches had it).
+python -m benchmarks.scale.watchers HOST:PORT NUMBER KIND SEED
+
+It prints NUMBER first. KIND is `scripted` (a minimal client that makes one long-polling call after another)
+or `program` (the list client of the program with the backoff of the decision module, without fronts).
+Commands:
+
+- `listed`: the number of watches that have a list
+- `told VERSION`: the times at which watches received the version
 """
 
 from __future__ import annotations
@@ -19,7 +23,7 @@
 import anyio
 import anyio.abc
 
-from benchmarks.scale.processes import obey
+from benchmarks.scale.processes import serve_commands
 from puffinford import Balancer
 from puffinford.codec import decode_settings
 from puffinford.core.clock import Clock
@@ -30,31 +34,32 @@
 from puffinford.standins.clients import ClientClass
 
 _VERSION = re.compile(rb'"version": (\d+)')
-RETRY = 0.1  # seconds after a failed call, drawn between 0 and this
-SPREAD = WATCH_WAIT_MS / 1_000.0  # seconds in which the watches begin, so that they do not ask in step
+MAX_RETRY_DELAY_S = 0.1
+START_WINDOW_S = WATCH_WAIT_MS / 1_000.0  # spreads the starts, so that calls are not synchronized
 
 
-class Book:
-    """Which version came when, over all watches of this process."""
+class VersionLog:
+    """When each version reached the watches of this process."""
 
     def __init__(self) -> None:
         self.listed = 0
-        self.told: dict[int, list[float]] = defaultdict(list)  # by version, in seconds of the system's clock
+        # Times in seconds of the monotonic clock, by version.
+        self.received_at: dict[int, list[float]] = defaultdict(list)
 
-    def take(self, before: int | None, version: int) -> None:
-        """A watch that had `before`, or nothing, has this version now."""
+    def record(self, before: int | None, version: int) -> None:
+        """Record that a watch at version `before` (None: no list yet) has received `version`."""
         self.listed += before is None
         if version != before:
-            self.told[version].append(time.monotonic())
+            self.received_at[version].append(time.monotonic())
 
     async def handle(self, words: list[str]) -> object:
-        """Answer one command."""
+        """Run one command."""
         match words:
             case ["listed"]:
                 return self.listed
             case ["told", version]:
-                return self.told.get(int(version), [])
-        raise ValueError(f"{words} is no command")
+                return self.received_at.get(int(version), [])
+        raise ValueError(f"unknown command: {words}")
 
 
 async def _get(host: str, port: int, path: str) -> bytes:
@@ -66,9 +71,9 @@
         writer.close()
 
 
-async def scripted(host: str, port: int, book: Book, rng: random.Random) -> None:
-    """One watch, for ever."""
-    await asyncio.sleep(rng.random() * SPREAD)
+async def scripted(host: str, port: int, log: VersionLog, rng: random.Random) -> None:
+    """Run one minimal watch until cancelled."""
+    await asyncio.sleep(rng.random() * START_WINDOW_S)
     version: int | None = None
     while True:
         path = "/v1/servers" if version is None else f"/v1/servers?index={version}&wait={WATCH_WAIT_MS}"
@@ -77,43 +82,45 @@
         except OSError:
             found = None
         if found is None:
-            await asyncio.sleep(RETRY * rng.random())
+            await asyncio.sleep(MAX_RETRY_DELAY_S * rng.random())
             continue
-        now = int(found[1])
-        book.take(version, now)
-        version = now
+        received = int(found[1])
+        log.record(version, received)
+        version = received
 
 
 class ProgramWatch:
-    """The program's list client, paced after a failure by a decision module of its own."""
+    """A watch by the list client of the program, with a decision module for its backoff."""
 
     def __init__(
-        self, address: tuple[str, int], book: Book, seed: int, clock: Clock, tasks: anyio.abc.TaskGroup
+        self, address: tuple[str, int], log: VersionLog, seed: int, clock: Clock, tasks: anyio.abc.TaskGroup
     ) -> None:
         settings = decode_settings(platform_settings([ClientClass("chat")], balancers=7_500, me=seed % 7_500))
         self._balancer = Balancer(settings, seed)
         self._rng = random.Random(seed)
-        self._book = book
+        self._log = log
         self._clock = clock
         self._tasks = tasks
         self._version: int | None = None
         self._watch = DiscoveryWatch(address, None, clock, self._take, rng=self._rng)
 
     async def run(self) -> None:
-        """Watch for ever, from a moment of its own on."""
-        await anyio.sleep(self._rng.random() * SPREAD)
+        """Watch until cancelled, after a random delay."""
+        await anyio.sleep(self._rng.random() * START_WINDOW_S)
         self._tasks.start_soon(self._watch.run)
         await anyio.sleep(0)
         self._watch.subscribe(True)
 
-    def _take(self, machines: ServerEntries | None) -> int | None:
-        if machines is None:
+    def _take(self, listed_servers: ServerEntries | None) -> int | None:
+        if listed_servers is None:
             self._handle(ServerList(ListKind.UNAVAILABLE))
             return self._version
-        kind = ListKind.REPLACE if machines.full else ListKind.UPDATE
-        self._handle(ServerList(kind, [machine.server for machine in machines.entries], machines.version))
-        self._book.take(self._version, machines.version)
-        self._version = machines.version
+        kind = ListKind.REPLACE if listed_servers.full else ListKind.UPDATE
+        self._handle(
+            ServerList(kind, [entry.server for entry in listed_servers.entries], listed_servers.version)
+        )
+        self._log.record(self._version, listed_servers.version)
+        self._version = listed_servers.version
         return self._version
 
     def _handle(self, event: Event) -> None:
@@ -129,16 +136,16 @@
 
 
 async def serve(host: str, port: int, number: int, kind: str, seed: int) -> None:
-    """Run until the input ends."""
-    book, clock = Book(), Clock()
+    """Serve until standard input is closed."""
+    log, clock = VersionLog(), Clock()
     async with anyio.create_task_group() as tasks:
-        for one in range(number):
-            own = seed * 10_000 + one
+        for index in range(number):
+            watch_seed = seed * 10_000 + index
             if kind == "scripted":
-                tasks.start_soon(scripted, host, port, book, random.Random(own))
+                tasks.start_soon(scripted, host, port, log, random.Random(watch_seed))
             else:
-                tasks.start_soon(ProgramWatch((host, port), book, own, clock, tasks).run)
-        await obey(book.handle, number)
+                tasks.start_soon(ProgramWatch((host, port), log, watch_seed, clock, tasks).run)
+        await serve_commands(log.handle, number)
         tasks.cancel_scope.cancel()
 
 
@@ -146,5 +153,5 @@
     _address, _number, _kind, _seed = sys.argv[1:]
     _host, _, _port = _address.rpartition(":")
     assert _kind in ("scripted", "program")
-    logging.disable(logging.WARNING)  # calls that a reset breaks are what is measured
+    logging.disable(logging.WARNING)  # broken calls are expected after a reset
     anyio.run(serve, _host, int(_port), int(_number), _kind, int(_seed))
--- a/benchmarks/scale/worker.py
+++ b/benchmarks/scale/worker.py
@@ -1,6 +1,8 @@
-"""One part of a measurement, once, in a process of its own: its memory and its heap hold nothing else.
+"""Runs one part of a measurement once, in its own process so that memory is not shared with other parts.
 
-python -m benchmarks.scale.worker PART SEED full|quick; its last line is a `SampleList` as JSON.
+python -m benchmarks.scale.worker PART SEED full|quick
+
+The last line of its output is a `SampleList` as JSON.
 """
 
 from __future__ import annotations
@@ -10,23 +12,23 @@
 import msgspec
 
 from benchmarks.scale.parts import parts
-from benchmarks.scale.samples import NotHeld, SampleList
+from benchmarks.scale.samples import SampleList, SizeNotReached
 from benchmarks.scale.sizes import FULL, QUICK
 
 
 def run(name: str, seed: int, quick: bool) -> SampleList:
-    """The samples of the part of this name, or why it could not hold its size."""
+    """Run the part of this name; return its samples, or why it did not reach its size."""
     sizes = QUICK if quick else FULL
     part = next(part for part in parts(sizes) if part.name == name)
     try:
         return SampleList(list(part.measure(sizes, seed)))
-    except NotHeld as exc:
+    except SizeNotReached as exc:
         return SampleList([], str(exc))
     except ExceptionGroup as group:
-        held, other = group.split(NotHeld)
-        if other is not None or held is None:
+        not_reached, other = group.split(SizeNotReached)
+        if other is not None or not_reached is None:
             raise
-        return SampleList([], str(held.exceptions[0]))
+        return SampleList([], str(not_reached.exceptions[0]))
 
 
 if __name__ == "__main__":
--- a/tests/test_scale_records.py
+++ b/tests/test_scale_records.py
@@ -1,4 +1,4 @@
-"""The results of scale runs: bad ones are refused with place and value, and a quick run is read back."""
+"""Results of scale runs: invalid files are rejected with place and value; a quick run can be read back."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from benchmarks.scale import lists, records
 from benchmarks.scale.parts import parts
 from benchmarks.scale.records import BadRecord, MachineInfo, Point, Provenance, SlopeResults
-from benchmarks.scale.runner import Cores, Outcome
-from benchmarks.scale.samples import NotHeld, Sample, gather
+from benchmarks.scale.runner import CoreBudget, Outcome
+from benchmarks.scale.samples import Sample, SizeNotReached, gather
 from benchmarks.scale.sizes import FULL, QUICK
-from benchmarks.scale.store import EMPTY, join, load
+from benchmarks.scale.store import EMPTY, load, replace_series
 
 MACHINE = MachineInfo(8, 23.0, "CPython 3.11", "Linux x86_64")
 
@@ -31,9 +31,11 @@
     return [Point(series, "ms", {"servers": n}, [slope * n, slope * n], [1, 2]) for n in (1, 2, 3)]
 
 
-def kept(tmp_path: Path) -> Path:
+def stored_results(tmp_path: Path) -> Path:
     path = tmp_path / "slopes.json"
-    first = join(EMPTY, provenance("aaa"), points("module.place", 1.0) + points("control.core_pct", 2.0))
+    first = replace_series(
+        EMPTY, provenance("aaa"), points("module.place", 1.0) + points("control.core_pct", 2.0)
+    )
     records.write(path, first)
     return path
 
@@ -42,19 +44,19 @@
     return CliRunner().invoke(command.main, words)
 
 
-def spoil(plain: dict[str, Any], place: str, value: object) -> None:
-    *way, last = place.split(".")
-    held: Any = plain
-    for step in way:
-        held = held[int(step) if step.isdigit() else step]
+def corrupt(plain: dict[str, Any], place: str, value: object) -> None:
+    *parents, last = place.split(".")
+    container: Any = plain
+    for step in parents:
+        container = container[int(step) if step.isdigit() else step]
     if value is None:
-        del held[last]
+        del container[last]
     else:
-        held[last] = value
+        container[last] = value
 
 
 @pytest.mark.parametrize(
-    ("place", "value", "told"),
+    ("place", "value", "expected"),
     [
         ("schema", 2, ["$.schema", "2 is not 1"]),
         ("points", None, ["points", "missing"]),
@@ -72,15 +74,15 @@
     ],
 )
 def test_bad_results_are_refused_with_place_and_value(
-    place: str, value: object, told: list[str], tmp_path: Path
+    place: str, value: object, expected: list[str], tmp_path: Path
 ) -> None:
-    path = kept(tmp_path)
+    path = stored_results(tmp_path)
     plain = json.loads(path.read_text())
-    spoil(plain, place, value)
+    corrupt(plain, place, value)
     path.write_text(json.dumps(plain))
     with pytest.raises(BadRecord) as caught:
         load(path)
-    assert all(text in str(caught.value) for text in ["slopes.json", *told]), caught.value
+    assert all(text in str(caught.value) for text in ["slopes.json", *expected]), caught.value
     done = run("--quick", "--results", str(path))
     assert done.exit_code == 2 and str(caught.value) in done.output
 
@@ -94,7 +96,7 @@
 
 
 def test_bad_results_are_not_written(tmp_path: Path) -> None:
-    path = kept(tmp_path)
+    path = stored_results(tmp_path)
     before = path.read_text()
     bad = msgspec.structs.replace(load(path).points[0], values=[float("nan")])
     with pytest.raises(BadRecord, match=r"\$\.points\[0\]\.values\[0\]: nan"):
@@ -103,18 +105,20 @@
 
 
 def test_series_measured_anew_replace_just_those_and_carry_their_own_provenance(tmp_path: Path) -> None:
-    made = join(load(kept(tmp_path)), provenance("bbb"), points("control.core_pct", 4.0))
+    made = replace_series(load(stored_results(tmp_path)), provenance("bbb"), points("control.core_pct", 4.0))
     by = {point.series: made.measured[point.measured].commit for point in made.points}
     assert by == {"module.place": "aaa", "control.core_pct": "bbb"}
     assert {fit.series: round(fit.slope, 6) for fit in made.fits} == {
         "module.place": 1.0,
         "control.core_pct": 4.0,
     }
-    again = join(made, provenance("ccc"), points("module.place", 3.0))
-    assert [one.commit for one in again.measured] == ["bbb", "ccc"], "what no point was measured by is gone"
+    again = replace_series(made, provenance("ccc"), points("module.place", 3.0))
+    assert [entry.commit for entry in again.measured] == ["bbb", "ccc"], (
+        "provenance that no point refers to is removed"
+    )
 
 
-def test_runs_are_gathered_by_series_and_size_in_whatever_order_inputs_are_told() -> None:
+def test_runs_are_gathered_by_series_and_size_in_any_order_of_inputs() -> None:
     runs = [
         [Sample("a.b", "s", {"x": 1, "y": 2}, 5.0), Sample("a.b", "s", {"x": 2, "y": 2}, 7.0)],
         [Sample("a.b", "s", {"y": 2, "x": 1}, 6.0)],
@@ -129,19 +133,19 @@
     assert done.exit_code == 0, done.output
     assert "bench scale series=10 " in done.output.splitlines()[-1]
     made = load(path)
-    told = {name for part in parts(QUICK) for name in part.series if name.startswith("module")}
-    assert {point.series for point in made.points} == told, "parts say what they measure"
+    expected = {name for part in parts(QUICK) for name in part.series if name.startswith("module")}
+    assert {point.series for point in made.points} == expected, "each part lists the series that it measures"
     assert all(point.series.startswith("module.") and point.seeds == [1, 2] for point in made.points)
     memory = {fit.over: fit.slope for fit in made.fits if fit.unit == "B"}
     assert 300 < memory["servers"] < 3_000 and 300 < memory["standing"] < 3_000
     assert made.measured[0].machine == records.this_machine()
     keys = [(point.series, tuple(sorted(point.inputs.items()))) for point in made.points]
-    assert len(keys) == len(set(keys)), "a size that two parts measure would have too many runs"
+    assert len(keys) == len(set(keys)), "two parts measure the same series at the same size"
 
 
 @pytest.fixture
 def canned(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> dict[str, Outcome]:
-    """Outcomes that stand for a measurement, and a committed file of its own."""
+    """Predefined outcomes in place of a measurement, with a results file in `tmp_path`."""
     outcomes: dict[str, Outcome] = {}
 
     async def run_all(*_: object) -> dict[str, Outcome]:
@@ -161,7 +165,7 @@
     )
     canned["lines"] = Outcome({1: [sample], 2: [sample]})
     done = run("--runs", "2", "--only", "data")
-    assert done.exit_code == 2 and "not held: rest: seed 2: 4800 of 5000" in done.output
+    assert done.exit_code == 2 and "size not reached: rest: seed 2: 4800 of 5000" in done.output
     assert {point.series for point in load(records.SLOPES).points} == {"data.line_us"}
 
 
@@ -171,27 +175,27 @@
     assert not records.SLOPES.exists()
 
 
-class Never:
-    """A helper whose watches get nothing."""
+class SilentHelper:
+    """A helper process whose watches receive nothing."""
 
-    def ask(self, *words: object) -> Any:
+    def send_command(self, *words: object) -> Any:
         return {"change": {"version": 5, "at": 0.0}, "told": [], "listed": 3}[str(words[0])]
 
 
-def test_watches_that_get_no_list_or_no_change_are_not_held() -> None:
-    never: Any = Never()
-    with pytest.raises(NotHeld, match="6 of 7 watches had a list"):
-        lists.wait_listed([never, never], 7, 0.0)
-    with pytest.raises(NotHeld, match="0 of 7 watches"):
-        lists.told(never, [never], 7, 0.0)
+def test_watches_that_get_no_list_or_no_change_do_not_reach_their_size() -> None:
+    silent: Any = SilentHelper()
+    with pytest.raises(SizeNotReached, match="6 of 7 watches had a list"):
+        lists.wait_listed([silent, silent], 7, 0.0)
+    with pytest.raises(SizeNotReached, match="0 of 7 watches"):
+        lists.propagation_times(silent, [silent], 7, 0.0)
 
 
 def test_parts_wait_for_cores_and_the_greatest_runs_alone() -> None:
-    async def story() -> list[str]:
-        cores, seen = Cores(2.0), []
+    async def run_parts() -> list[str]:
+        cores, seen = CoreBudget(2.0), []
 
         async def take(name: str, need: float) -> None:
-            await cores.take(need)
+            await cores.acquire(need)
             seen.append(name)
 
         async with anyio.create_task_group() as tasks:
@@ -199,10 +203,10 @@
             tasks.start_soon(take, "greatest", 3.0)
             await anyio.wait_all_tasks_blocked()
             assert seen == ["first"]
-            await cores.give(1.5)
+            await cores.release(1.5)
         return seen
 
-    assert anyio.run(story) == ["first", "greatest"]
+    assert anyio.run(run_parts) == ["first", "greatest"]
 
 
 @pytest.mark.parametrize(
@@ -217,7 +221,7 @@
     ],
 )
 def test_prefixes_choose_the_parts_that_measure_them(prefixes: tuple[str, ...], names: set[str]) -> None:
-    assert {part.name for part in parts(FULL) if part.wanted(prefixes)} == names
+    assert {part.name for part in parts(FULL) if part.matches(prefixes)} == names
     assert len({part.name for part in parts(QUICK)}) == len(parts(QUICK))
 
 
