--- a/benchmarks/fleet/__init__.py
+++ b/benchmarks/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What grows with the number of balancers: stories in settable time, the real modules side by side."""
+"""Effects of the number of balancers, measured on decision modules in simulated time."""
--- a/benchmarks/fleet/__main__.py
+++ b/benchmarks/fleet/__main__.py
@@ -1,7 +1,7 @@
-"""`make bench-fleet`: three stories at 3, 10, 40 and 100 balancers.
+"""`make bench-fleet`: three failure scenarios with 3, 10, 40 and 100 balancers in simulated time.
 
-Left out against the platform's days: servers that are late (none here is), sockets, the delay before a front
-notices a dead balancer, discovery's own queue. The clients' number does not grow with the balancers.
+Not modelled: overloaded servers, sockets, the delay until a front notices a dead balancer, and the queue of
+discovery. The number of clients does not depend on the number of balancers.
 
 python -m benchmarks.fleet [--servers 10 --clients 350 --groups 12 --runs 5]
 """
@@ -18,54 +18,54 @@
 from puffinford.standins.fleet import SIMULATED_WARM_CAPACITY, Fleet, removed, restarted
 from puffinford.text_table import format_table
 
-SIZES = (3, 10, 40, 100)
-WARM_TIME = 23_000.0
-COLD_FROM = 0.13
-MULTIPLE = 3.0
+BALANCER_COUNTS = (3, 10, 40, 100)
+WARM_UP_MS = 23_000.0
+COLD_CAPACITY_FRACTION = 0.13
+BUDGET_MULTIPLE = 3.0
 
 
 def release(fleet: Fleet, groups: int) -> list[Server]:
-    """Six in ten servers are replaced within 7 s, each told 1 s after its start; clients come back."""
+    """Replace 60 % of the servers within 7 s, each announced 1 s after its start; clients reconnect."""
     new = []
     step = 7_000.0 / (0.6 * len(fleet.servers))
     for old in fleet.servers[: int(0.6 * len(fleet.servers))]:
-        (fresh,) = restarted([Server(f"new-{old.id}")], fleet.now)
-        new.append(fresh)
+        (replacement,) = restarted([Server(f"new-{old.id}")], fleet.now)
+        new.append(replacement)
         fleet.arrive(2, 1_000.0, groups)
-        fleet.tell([fresh], 300.0)
+        fleet.tell([replacement], 300.0)
         fleet.tell(removed([old]), 300.0)
         fleet.arrive(fleet.fail_servers({old.id}), step, groups)
     return new
 
 
 def zone(fleet: Fleet, groups: int) -> list[Server]:
-    """Four in ten servers die at once, are told gone 3 s later, and come back cold after 6 s."""
+    """Fail 40 % of the servers at once; they leave the list after 3 s and restart cold after 6 s."""
     lost = fleet.servers[: int(0.4 * len(fleet.servers))]
-    cut = fleet.fail_servers({server.id for server in lost})
-    fleet.arrive(cut, 1_500.0, groups)
+    lost_connections = fleet.fail_servers({server.id for server in lost})
+    fleet.arrive(lost_connections, 1_500.0, groups)
     fleet.arrive(20, 1_500.0, groups)
     fleet.tell(removed(lost), 500.0)
     fleet.arrive(20, 2_500.0, groups)
     fleet.dead.clear()
-    back = restarted(lost, fleet.now)
+    restarted_servers = restarted(lost, fleet.now)
     fleet.arrive(5, 800.0, groups)
-    fleet.tell(back, 500.0)
+    fleet.tell(restarted_servers, 500.0)
     fleet.arrive(100, 10_000.0, groups)
-    return back
+    return restarted_servers
 
 
 def herd(fleet: Fleet, groups: int) -> list[Server]:
-    """Seven in ten balancers restart at once beside two new servers; their clients come back within 1.5 s."""
+    """Restart 70 % of the balancers at once, with two new servers; clients reconnect within 1.5 s."""
     new = restarted([Server("new-1"), Server("new-2")], fleet.now)
     fleet.arrive(5, 2_000.0, groups)
     fleet.tell(new, 500.0)
     before = len(fleet.standing)
-    for me in range(int(0.7 * len(fleet.balancers))):
-        fleet.restart(me, fleet.servers)
-    cut = before - len(fleet.standing)
-    for me in range(int(0.7 * len(fleet.balancers))):
-        fleet.handle(me, ServerList(ListKind.REPLACE, [*fleet.servers, *new]))
-    fleet.arrive(cut, 1_500.0, groups)
+    for balancer in range(int(0.7 * len(fleet.balancers))):
+        fleet.restart(balancer, fleet.servers)
+    lost_connections = before - len(fleet.standing)
+    for balancer in range(int(0.7 * len(fleet.balancers))):
+        fleet.handle(balancer, ServerList(ListKind.REPLACE, [*fleet.servers, *new]))
+    fleet.arrive(lost_connections, 1_500.0, groups)
     fleet.arrive(50, 5_000.0, groups)
     return new
 
@@ -84,20 +84,27 @@
     fleet.attempts = 0
     fleet.cpu, fleet.events = 0.0, 0
     cold = story(fleet, groups)
-    fill = 0.0
+    budget_use = 0.0
     for server in cold:
         for at in [at for at, _, to in fleet.sends if to == server.id]:
-            warmth = min(1.0, COLD_FROM + (1.0 - COLD_FROM) * (at - server.started) / WARM_TIME)
+            warmth = min(
+                1.0,
+                COLD_CAPACITY_FRACTION + (1.0 - COLD_CAPACITY_FRACTION) * (at - server.started) / WARM_UP_MS,
+            )
             sent = sum(at - 1_000.0 < other <= at for other, _, to in fleet.sends if to == server.id)
-            fill = max(fill, sent / (MULTIPLE * SIMULATED_WARM_CAPACITY / QUOTA_FRACTION * warmth / 23.0))
+            budget_use = max(
+                budget_use,
+                sent / (BUDGET_MULTIPLE * SIMULATED_WARM_CAPACITY / QUOTA_FRACTION * warmth / 23.0),
+            )
     held = fleet.held()
     up = [server.id for server in fleet.servers if server.id in held]
     return {
-        "fill": fill,
+        "fill": budget_use,
         "cold_held": statistics.mean(held[server.id] for server in cold),
-        "spread": max(held[ident] for ident in up) / statistics.mean(held[ident] for ident in up),
+        "spread": max(held[server_id] for server_id in up)
+        / statistics.mean(held[server_id] for server_id in up),
         "pairs": fleet.pairs() / groups,
-        "claims": fleet.attempts / max(1, len(fleet.sends)),
+        "attempts": fleet.attempts / max(1, len(fleet.sends)),
         "refused": fleet.refused / max(1, fleet.refused + len(fleet.sends)),
         "calls": float(fleet.call_peak()),
         "us": 1e6 * fleet.cpu / max(1, fleet.events),
@@ -110,26 +117,26 @@
 @click.option("--clients", default=350, show_default=True)
 @click.option("--groups", default=12, show_default=True)
 def main(runs: int, servers: int, clients: int, groups: int) -> None:
-    """Measure, print a table and the one line; figures are means over the seeds, `fill` is the highest."""
+    """Print a table and the summary line, with means over the seeds and the maximum of `fill`."""
     click.echo(f"{servers} servers, {clients} clients in {groups} groups, seeds 1 to {runs}")
-    heads = (
-        "story", "balancers", "cold fill / budget", "held by a cold one", "max / mean", "servers a group",
-        "claims a job", "refused", "calls in 250 ms", "us an event",
+    headers = (
+        "story", "balancers", "cold fill / budget", "cold connections", "max / mean", "servers / group",
+        "attempts / request", "refused", "calls in 250 ms", "us / event",
     )  # fmt: skip
     rows = []
     line = []
     for story in (release, zone, herd):
-        for balancers in SIZES:
+        for balancers in BALANCER_COUNTS:
             found = [play(story, balancers, seed, servers, clients, groups) for seed in range(1, runs + 1)]
-            mean = {name: statistics.mean(one[name] for one in found) for name in found[0]}
-            mean["fill"] = max(one["fill"] for one in found)
+            mean = {name: statistics.mean(result[name] for result in found) for name in found[0]}
+            mean["fill"] = max(result["fill"] for result in found)
             rows.append((story.__name__, balancers, *(f"{value:.2f}" for value in mean.values())))
             if balancers in (3, 40):
                 line += [
                     f"{story.__name__}_{name}_{balancers}={mean[name]:.2f}"
                     for name in ("fill", "pairs", "us")
                 ]
-    click.echo(format_table(heads, rows))
+    click.echo(format_table(headers, rows))
     click.echo("bench fleet " + " ".join(line))
 
 
--- a/benchmarks/rebalance/__init__.py
+++ b/benchmarks/rebalance/__init__.py
@@ -1,1 +1,1 @@
-"""Rebalancing after a cold restart: the story on loopback, and the planner alone at size."""
+"""Rebalancing after a cold restart: a story on loopback, and the planner alone in a large simulation."""
--- a/benchmarks/rebalance/cost.py
+++ b/benchmarks/rebalance/cost.py
@@ -1,4 +1,4 @@
-"""What a round costs with many standing connections: module, exchange's part and planner together."""
+"""Processor time of rebalancing rounds with many connections, in the decision module and the planner."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 def core_share(connections: int, servers: int, rounds: int = 200) -> float:
-    """Part of a core that rounds take while everything is out of balance, and each round moves one."""
+    """Return the share of a core that rounds take while the load is unbalanced and each round moves one."""
     balancer = Balancer(Settings([RequestClass("x", 2_000.0)]), 1)
     now = 100_000.0
-    named = [Server(f"s-{n}") for n in range(servers)]
-    balancer.handle(now, [ServerList(ListKind.REPLACE, named[: servers // 2])])
+    servers_listed = [Server(f"s-{n}") for n in range(servers)]
+    balancer.handle(now, [ServerList(ListKind.REPLACE, servers_listed[: servers // 2])])
     for n in range(connections):
         for action in balancer.handle(now, [it.Request(f"j{n}", "x", 2_000.0, key=n)]):
             if isinstance(action, it.Attempt):
                 balancer.handle(now, [it.Established(action.id, 0, action.server, 1.0)])
-    balancer.handle(now, [ServerList(ListKind.REPLACE, named)])
+    balancer.handle(now, [ServerList(ListKind.REPLACE, servers_listed)])
     planner = Planner(Figures(settle=0.0, young=0.0), random.Random(1))
-    began = time.process_time()
+    started_at = time.process_time()
     for _ in range(rounds):
         now += ROUND
         places = [
@@ -41,4 +41,4 @@
             planned = planner.choose(now, sample, partial(balancer.best_server, now=now))
             if planned is not None:
                 balancer.handle(now, [it.Relocate(planned.job, planned.target, 2_500.0)])
-    return (time.process_time() - began) / (rounds * ROUND / 1_000.0)
+    return (time.process_time() - started_at) / (rounds * ROUND / 1_000.0)
--- a/benchmarks/rebalance/story.py
+++ b/benchmarks/rebalance/story.py
@@ -1,4 +1,4 @@
-"""Three balancers, ten stand-in servers, 400 standing connections of three classes; two restart cold."""
+"""A story with three balancers, ten stand-in servers and 400 connections; two servers restart cold."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 from puffinford.standins.servers import ServerProfile
 from puffinford.standins.trace import EventKind, Trace
 
-COLD_FROM, WARM_MS = 0.13, 23_000.0  # as the balancers' settings have it
-OPENINGS = 10.0  # a second, that a warm server is taken to bear
+COLD_FROM, WARM_UP_MS = 0.13, 23_000.0  # as in the balancers' settings
+WARM_CONNECTIONS_PER_S = 10.0  # new connections that a warm server can take
 RESTARTED = ("gw-3", "gw-8")
-OPERATORS = "section rebalance\n enabled on\n start-rate 2/s\n most-rate 4/s\n"
+OPERATOR_SETTINGS = "section rebalance\n enabled on\n start-rate 2/s\n most-rate 4/s\n"
 
 
 @dataclass
 class Result:
-    """What one run came to. Times in seconds from the restart."""
+    """The results of one run. Times are in seconds from the restart."""
 
-    balanced_s: float = float("inf")  # fullest over the mean under 1.2, and emptiest over 0.7, for good
+    balanced_s: float = float("inf")  # from when all loads stay within 0.7 to 1.2 times the mean
     ratio_end: float = float("nan")
     moves: int = 0
-    least_moves: int = 0  # what the fuller servers held more at the restart than at the end
+    least_moves: int = 0  # excess connections at the restart over those at the end
     cut: int = 0
     cold: list[str] = field(default_factory=list)
     broken: list[str] = field(default_factory=list)
@@ -38,42 +38,49 @@
     ratios: list[tuple[float, float]] = field(default_factory=list)
 
 
-def script(standing: int, life: float, grow_s: float, after_s: float, seed: int, on: bool) -> Script:
-    """`standing` connections grow over `grow_s`; then two servers crash, and restart 5 s later."""
+def script(
+    connections: int, lifetime_ms: float, grow_s: float, after_s: float, seed: int, enabled: bool
+) -> Script:
+    """Return a script in which two servers crash and restart 5 s later.
+
+    `connections` connections are opened within `grow_s` seconds before the crash.
+    """
     kinds = [
-        ClientClass("price-lookup", 52.0, 2_000.0, 500.0, life, groups=10**6),
-        ClientClass("basket-sync", 32.0, 1_800.0, 300.0, life, groups=10**6),
-        ClientClass("till-status", 16.0, 3_000.0, 500.0, life, worth=2.0, groups=10**6),
+        ClientClass("price-lookup", 52.0, 2_000.0, 500.0, lifetime_ms, groups=10**6),
+        ClientClass("basket-sync", 32.0, 1_800.0, 300.0, lifetime_ms, groups=10**6),
+        ClientClass("till-status", 16.0, 3_000.0, 500.0, lifetime_ms, worth=2.0, groups=10**6),
+    ]
+    events = [Event(grow_s * 1_000.0, "server", "crash", (server_id,)) for server_id in RESTARTED]
+    events += [
+        Event((grow_s + 5.0) * 1_000.0, "server", "start cold", (server_id,)) for server_id in RESTARTED
     ]
-    events = [Event(grow_s * 1_000.0, "server", "crash", (ident,)) for ident in RESTARTED]
-    events += [Event((grow_s + 5.0) * 1_000.0, "server", "start cold", (ident,)) for ident in RESTARTED]
     return Script(
         seed=seed,
         seconds=grow_s + 5.0 + after_s,
         balancers=3,
-        rate=standing / life * 1_000.0,
+        rate=connections / lifetime_ms * 1_000.0,
         kinds=kinds,
         servers={
-            f"gw-{n}": ServerProfile(set_up=5.0, capacity=200, cold_from=COLD_FROM, warm_ms=WARM_MS)
+            f"gw-{n}": ServerProfile(set_up=5.0, capacity=200, cold_from=COLD_FROM, warm_ms=WARM_UP_MS)
             for n in range(10)
         },
         events=events,
         grouped=False,
-        operators=OPERATORS if on else "",
+        operators=OPERATOR_SETTINGS if enabled else "",
     )
 
 
 def run(
-    on: bool,
+    enabled: bool,
     work: Path,
     seed: int = 1,
-    standing: int = 400,
-    life: float = 240_000.0,
+    connections: int = 400,
+    lifetime_ms: float = 240_000.0,
     grow_s: float = 10.0,
     after_s: float = 70.0,
 ) -> Result:
-    """One run, with rebalancing or without."""
-    play = Play(script(standing, life, grow_s, after_s, seed, on), work)
+    """Play the story once, with or without rebalancing."""
+    play = Play(script(connections, lifetime_ms, grow_s, after_s, seed, enabled), work)
     samples: list[tuple[float, list[int]]] = []
 
     async def story() -> Trace:
@@ -85,18 +92,18 @@
                     samples.append((play.trace.elapsed, [s.standing for s in play.servers.values()]))
 
             async def fill() -> None:
-                # The steady stream alone would take a life to fill the fleet.
+                # Adds arrivals, since the regular ones would take a connection lifetime to fill the fleet.
                 while not hasattr(play, "clients"):
                     await play.clock.sleep(10.0)
-                for _ in range(standing):
-                    await play.clock.sleep(grow_s * 700.0 / standing)
+                for _ in range(connections):
+                    await play.clock.sleep(grow_s * 700.0 / connections)
                     play.clients.arrive()
 
             tasks.start_soon(sample)
             tasks.start_soon(fill)
             trace = await play.run()
             while samples and samples[-1][0] > play.trace.serving_ended_at - 1_000.0:
-                samples.pop()  # the stage is being cleared
+                samples.pop()  # taken during the shutdown of the stage
             tasks.cancel_scope.cancel()
         return trace
 
@@ -104,8 +111,8 @@
 
 
 def read(trace: Trace, samples: list[tuple[float, list[int]]], grow_s: float) -> Result:
-    """The figures of a run."""
-    made = Result()
+    """Compute the results from a trace and load samples."""
+    result = Result()
     restart = min(entry.at for entry in trace.of(EventKind.STATE) if entry.detail == "cold")
     crash = min(
         entry.at for entry in trace.of(EventKind.STATE) if entry.detail == "refusing" and entry.at > 1_000.0
@@ -114,21 +121,23 @@
         if at >= restart and any(counts):
             mean = sum(counts) / len(counts)
             ratio = max(max(counts) / mean, 1.2 + (0.7 - min(counts) / mean))
-            made.ratios.append(((at - restart) / 1_000.0, ratio))
-    over = [at for at, ratio in made.ratios if ratio > 1.2]
-    later = [at for at, _ in made.ratios if at > max(over, default=-1.0)]
-    made.balanced_s = min(later, default=float("inf"))
-    made.ratio_end = statistics.median(ratio for _, ratio in made.ratios[-6:])
+            result.ratios.append(((at - restart) / 1_000.0, ratio))
+    unbalanced_at = [at for at, ratio in result.ratios if ratio > 1.2]
+    balanced_at = [at for at, _ in result.ratios if at > max(unbalanced_at, default=-1.0)]
+    result.balanced_s = min(balanced_at, default=float("inf"))
+    result.ratio_end = statistics.median(ratio for _, ratio in result.ratios[-6:])
     first: list[int] = next(counts for at, counts in samples if at >= restart)
     last = samples[-1][1]
-    made.least_moves = sum(max(0, was - now) for was, now in zip(first, last, strict=True))
-    made.moves = len([entry for entry in trace.of(EventKind.MOVED) if entry.at >= restart])
-    made.cut = len([entry for entry in trace.of(EventKind.CUT_OFF) if entry.at >= restart])
-    made.cold = checks.cold_servers_not_flooded(trace, dict.fromkeys(RESTARTED, OPENINGS), COLD_FROM, WARM_MS)
-    made.broken = rules(trace, trace.elapsed - 3_000.0)
+    result.least_moves = sum(max(0, was - now) for was, now in zip(first, last, strict=True))
+    result.moves = len([entry for entry in trace.of(EventKind.MOVED) if entry.at >= restart])
+    result.cut = len([entry for entry in trace.of(EventKind.CUT_OFF) if entry.at >= restart])
+    result.cold = checks.cold_servers_not_flooded(
+        trace, dict.fromkeys(RESTARTED, WARM_CONNECTIONS_PER_S), COLD_FROM, WARM_UP_MS
+    )
+    result.broken = rules(trace, trace.elapsed - 3_000.0)
     before = sorted(e.ms for e in trace.of(EventKind.ANSWERED) if e.at < crash)
     during = sorted(e.ms for e in trace.of(EventKind.ANSWERED) if e.at >= restart)
     if before and during:
-        made.p99_before = before[int(len(before) * 0.99)]
-        made.p99_during = during[int(len(during) * 0.99)]
-    return made
+        result.p99_before = before[int(len(before) * 0.99)]
+        result.p99_during = during[int(len(during) * 0.99)]
+    return result
--- a/benchmarks/size/__init__.py
+++ b/benchmarks/size/__init__.py
@@ -1,1 +1,1 @@
-"""What one balancer needs among sixteen times the servers, with the same traffic and capacity."""
+"""Resource use of one balancer with 16 times the servers at the same traffic and total capacity."""
--- a/benchmarks/size/__main__.py
+++ b/benchmarks/size/__main__.py
@@ -1,6 +1,6 @@
-"""`make bench-size`: one real balancer among few and many servers, and what the operators allow it to need.
+"""`make bench-size`: resource use of one balancer with few and with many servers, against the allowed limits.
 
-Both sizes have the same capacity in all; every entry of the list points to one of a few stand-in listeners.
+Both sizes have the same total capacity. All entries of the server list point to a few stand-in listeners.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 from puffinford.standins.trace import EventKind, Trace
 
 LISTENERS = 8
-QUOTA = 8_000.0  # connections of all tenants
+TOTAL_QUOTA = 8_000.0  # connections, over all tenants
 TENANTS = 6
-BALANCERS = 200  # as the settings tell it
-CHANGE_EVERY = 1_000.0  # ms
+BALANCERS = 200  # as configured
+CHANGE_INTERVAL_MS = 1_000.0
 
 
 KB = 1_000.0
@@ -35,8 +35,10 @@
 
 @dataclass(frozen=True)
 class Need:
-    """What one play took from the start of the process: seconds of CPU, MB at the peak, descriptors at its
-    end, connections made to servers, bytes of lists; and the part of the clients that came up.
+    """Resource use of one run from the start of the process.
+
+    CPU in seconds, peak memory in MiB, descriptors at the end, connections opened to servers, bytes of lists,
+    and the fraction of requests that were established.
     """
 
     cpu: float
@@ -48,7 +50,7 @@
 
 
 def limits(usual: Need, thousands: float) -> Need:
-    """What the operators allow with so many thousand servers, from what the usual size takes."""
+    """Return the limits for `thousands` thousand servers, based on the use at the usual size."""
     return Need(
         1.4 * usual.cpu + 0.02 + 0.12 * thousands,
         1.5 * usual.memory + 8.0 + 4.0 * thousands,
@@ -60,46 +62,46 @@
 
 
 async def play(servers: int, seconds: float, rate: float, seed: int, groups: int) -> Need:
-    """One play; clients come from the moment at which the balancer has its list."""
+    """Run a balancer once; clients start when it has its server list."""
     rng = random.Random(seed)
     clock = Clock()
     trace = Trace(clock.now)
     kind = ClientClass("desk", life=20_000.0, groups=groups)
     with tempfile.TemporaryDirectory() as directory:
         async with anyio.create_task_group() as tasks:
-            lists = Discovery(clock, trace, tasks)
-            stands = [
+            discovery_service = Discovery(clock, trace, tasks)
+            line_servers = [
                 LineServer(f"l-{n}", ServerProfile(capacity=10_000), clock, trace, rng, tasks)
                 for n in range(LISTENERS)
             ]
-            for stand in stands:
-                stand.start()
+            for line_server in line_servers:
+                line_server.start()
             for n in range(servers):
-                lists.registry.put(
-                    f"s-{n:04d}", addr=stands[n % LISTENERS].address, weight=BALANCERS / servers
+                discovery_service.registry.put(
+                    f"s-{n:04d}", addr=line_servers[n % LISTENERS].address, weight=BALANCERS / servers
                 )
-            lists.become("sound")
-            told = platform_settings([kind], BALANCERS, 3)
-            told["customers"] = [{"name": f"m{n}", "share": 1.0 / TENANTS} for n in range(TENANTS)]
-            told["domain"]["tenant_quota_connections"] = [QUOTA / TENANTS] * TENANTS
-            told["weight_source"] = "nominal"
-            process = BalancerProcess("n1", Path(directory), lists.address, told, seed=seed)
+            discovery_service.become("sound")
+            settings = platform_settings([kind], BALANCERS, 3)
+            settings["customers"] = [{"name": f"m{n}", "share": 1.0 / TENANTS} for n in range(TENANTS)]
+            settings["domain"]["tenant_quota_connections"] = [TOTAL_QUOTA / TENANTS] * TENANTS
+            settings["weight_source"] = "nominal"
+            process = BalancerProcess("n1", Path(directory), discovery_service.address, settings, seed=seed)
             process.start()
             try:
                 await anyio.to_thread.run_sync(process.wait_until_listening)
                 while not process.log.read_text().count("event=discovery"):
                     await clock.sleep(20.0)
-                tasks.start_soon(_change, lists, clock, rng, servers)
+                tasks.start_soon(_change_entries, discovery_service, clock, rng, servers)
                 clients = Clients([kind], rate, lambda: ("n1", process.port), clock, trace, rng, tasks)
                 await clients.run(seconds * 1_000.0)
-                asked = sum(trace.count(EventKind.REQUESTED).values())
+                requested = sum(trace.count(EventKind.REQUESTED).values())
                 need = Need(
                     process.cpu(),
                     process.peak() / 2**20,
                     float(len(os.listdir(f"/proc/{process.pid}/fd"))),
                     float(trace.count(EventKind.ATTEMPT).total()),
-                    float(lists.sent),
-                    sum(trace.count(EventKind.UP).values()) / max(1, asked),
+                    float(discovery_service.sent),
+                    sum(trace.count(EventKind.UP).values()) / max(1, requested),
                 )
             finally:
                 process.stop()
@@ -107,18 +109,22 @@
     return need
 
 
-async def _change(lists: Discovery, clock: Clock, rng: random.Random, servers: int) -> None:
+async def _change_entries(
+    discovery_service: Discovery, clock: Clock, rng: random.Random, servers: int
+) -> None:
     while True:
-        await clock.sleep(CHANGE_EVERY)
-        lists.put(f"s-{rng.randrange(servers):04d}", zone=HOST)
+        await clock.sleep(CHANGE_INTERVAL_MS)
+        discovery_service.put(f"s-{rng.randrange(servers):04d}", zone=HOST)
 
 
 def _mean(needs: list[Need]) -> Need:
-    return Need(*(statistics.mean(getattr(one, name) for one in needs) for name in Need.__annotations__))
+    return Need(
+        *(statistics.mean(getattr(measured, name) for measured in needs) for name in Need.__annotations__)
+    )
 
 
 def main() -> None:
-    """Play both sizes in turns and print the means beside what is allowed."""
+    """Run both sizes alternately and print the means and the limits."""
     parser = argparse.ArgumentParser(prog="bench-size")
     parser.add_argument("--runs", type=int, default=3)
     parser.add_argument("--seconds", type=float, default=25.0)
@@ -126,22 +132,24 @@
     parser.add_argument("--usual", type=int, default=200)
     parser.add_argument("--many", type=int, default=3_200)
     parser.add_argument("--groups", type=int, default=100_000)
-    given = parser.parse_args()
-    needs: dict[int, list[Need]] = {given.usual: [], given.many: []}
-    for run in range(given.runs):
+    options = parser.parse_args()
+    needs: dict[int, list[Need]] = {options.usual: [], options.many: []}
+    for run in range(options.runs):
         for servers, taken in needs.items():
-            taken.append(anyio.run(play, servers, given.seconds, given.rate, run + 1, given.groups))
+            taken.append(anyio.run(play, servers, options.seconds, options.rate, run + 1, options.groups))
             print(f"{servers} servers: {taken[-1]}", flush=True)
     means = {servers: _mean(taken) for servers, taken in needs.items()}
-    usual, many = means[given.usual], means[given.many]
-    allowed = limits(usual, given.many / 1_000.0)
-    spread = max(one.cpu for one in needs[given.many]) - min(one.cpu for one in needs[given.many])
+    usual, many = means[options.usual], means[options.many]
+    allowed = limits(usual, options.many / 1_000.0)
+    spread = max(measured.cpu for measured in needs[options.many]) - min(
+        measured.cpu for measured in needs[options.many]
+    )
     over = [
         name
         for name in Need.__annotations__
         if (getattr(many, name) > getattr(allowed, name)) != (name == "share")
     ]
-    words = [f"runs={given.runs}", f"noise_cpu_s={spread:.2f}"]
+    words = [f"runs={options.runs}", f"noise_cpu_s={spread:.2f}"]
     for name in Need.__annotations__:
         digits = 2 if name in ("cpu", "share") else 0
         for text, need in (("", usual), ("many_", many), ("allowed_", allowed)):
--- a/benchmarks/spread/__init__.py
+++ b/benchmarks/spread/__init__.py
@@ -1,1 +1,1 @@
-"""How evenly many real balancers load the servers, calm and after faults."""
+"""Evenness of the load of servers behind many balancers, in normal operation and after faults."""
--- a/benchmarks/spread/__main__.py
+++ b/benchmarks/spread/__main__.py
@@ -1,10 +1,10 @@
-"""`make bench-spread`: how evenly hundreds of real balancers load the servers, in each story of the stage.
+"""`make bench-spread`: evenness of the load behind hundreds of real balancers, in each story of the stage.
 
-Stories are those of `puffinford stage list`, at the size told here; loads are standing connections over each
-server's part, means over the seconds from the third on. Beside them stands choice by chance with as many
-connections. Every client has a group of its own unless `--groups` says otherwise; 0: none. One play each:
-plays of calm differ by 0.1. First come the same crowds before decision modules in settable time (`model`),
-three seeds each.
+The stories are those of `puffinford stage list`, at the given size. A load is the number of established
+connections over the share of the server, averaged from the third second on; `chance` is the value for a
+random placement of as many connections. Every client has its own group unless `--groups` sets a number (0: no
+groups). Each story is played once. Decision modules in simulated time (`model`) are measured first, with
+three seeds.
 
 python -m benchmarks.spread [--balancers 200 --servers 60 --standing 1800 --only STORY --before TREE]
 """
@@ -25,19 +25,19 @@
 from puffinford.stage.script import read_script
 from puffinford.text_table import format_table
 
-LIFE = 6.0  # mean seconds that a client stays
-NAMES = sorted(path.stem for path in STORIES_DIRECTORY.glob("*.yaml"))
-SHOWN = ("fullest", "emptiest", "worst", "chance", "refused", "with_room", "claims", "idle", "broken")
+LIFETIME_S = 6.0  # mean, of a client
+STORY_NAMES = sorted(path.stem for path in STORIES_DIRECTORY.glob("*.yaml"))
+SHOWN_FIGURES = ("fullest", "emptiest", "worst", "chance", "refused", "with_room", "claims", "idle", "broken")
 
 
 def play(
     name: str, balancers: int, servers: int, standing: int, groups: int, root: Path | None
 ) -> tuple[dict[str, float], list[str]]:
-    """One story; its figures, and the breaches of the rules. CPU is in seconds of all balancers together."""
-    kind = {"life": LIFE * 1_000.0, "every": 3_000.0, "give_up": 2_000.0, "groups": groups or 1_000_000}
+    """Play one story; return its statistics and the rule violations."""
+    kind = {"life": LIFETIME_S * 1_000.0, "every": 3_000.0, "give_up": 2_000.0, "groups": groups or 1_000_000}
     changes: dict[str, Any] = {
-        "balancers": balancers, "rate": standing / LIFE, "quota": standing * 4 / 3, "grouped": groups > 0,
-        "classes": {"desk": kind},
+        "balancers": balancers, "rate": standing / LIFETIME_S, "quota": standing * 4 / 3,
+        "grouped": groups > 0, "classes": {"desk": kind},
         "servers": {"gw": {"count": servers, "capacity": 20 * standing // servers, "warm_ms": 8_000}},
     }  # fmt: skip
     script = read_script(STORIES_DIRECTORY / f"{name}.yaml", **changes)
@@ -45,7 +45,7 @@
         played = Play(script, Path(directory), root)
         trace = anyio.run(played.run)
     report = Report(trace, script)
-    figures = {key: report.figures()[key] for key in SHOWN}
+    figures = {key: report.figures()[key] for key in SHOWN_FIGURES}
     figures["late_ms"] = max(played.relays.lateness, played.lateness)
     return figures, report.broken
 
@@ -55,17 +55,17 @@
 @click.option("--servers", default=60)
 @click.option("--standing", default=1_800)
 @click.option("--groups", default=1_000_000)
-@click.option("--only", type=click.Choice(NAMES), multiple=True)
-@click.option("--before", type=click.Path(path_type=Path), help="another source tree to play too")
+@click.option("--only", type=click.Choice(STORY_NAMES), multiple=True)
+@click.option("--before", type=click.Path(path_type=Path), help="another source tree to compare with")
 def main(
     balancers: int, servers: int, standing: int, groups: int, only: tuple[str, ...], before: Path | None
 ) -> None:
-    """Measure, print the tables and the one line."""
+    """Measure, print the tables and the summary line."""
     rows, line, worst = [], [], []
-    tenth = dict.fromkeys(range(0, balancers, 10), 5.0)
+    busy_balancers = dict.fromkeys(range(0, balancers, 10), 5.0)
     crowds = {
         "calm": Crowd(balancers, servers, standing, groups=groups),
-        "busy": Crowd(balancers, servers, standing, groups=groups, busy=tenth),
+        "busy": Crowd(balancers, servers, standing, groups=groups, busy=busy_balancers),
     }
     for name, crowd in crowds.items():
         found = mean(crowd, range(1, 4))
@@ -73,7 +73,7 @@
         line.append(f"model_{name}_fullest={found['fullest']:.2f}")
     click.echo(format_table(("model", *found), rows))
     rows = []
-    for name in only or NAMES:
+    for name in only or STORY_NAMES:
         for tree, root in (("now", None), *([("before", before)] if before else [])):
             figures, breaches = play(name, balancers, servers, standing, groups, root)
             worst += [f"{name} {tree}: {breach}" for breach in breaches]
--- a/benchmarks/spread/model.py
+++ b/benchmarks/spread/model.py
@@ -1,4 +1,4 @@
-"""The crowds of `benchmarks.spread` before decision modules in settable time: no process, no link, seeded."""
+"""The clients of `benchmarks.spread` in front of decision modules, in simulated time without processes."""
 
 from __future__ import annotations
 
@@ -11,62 +11,64 @@
 from puffinford.stage.spread import Evenness, Second, evenness
 from puffinford.standins.fleet import Fleet
 
-STEP = 1_000.0  # ms between looks
-WARM = 3_000.0  # ms that are not judged
+SAMPLE_INTERVAL_MS = 1_000.0
+WARM_UP_MS = 3_000.0  # excluded from the result
 
 
 @dataclass(frozen=True)
 class Crowd:
-    """Who comes: `standing` clients on average, each for `life` ms, in so many groups (0: none)."""
+    """The clients: `standing` at a time on average, each for `lifetime_ms`, in `groups` groups (0: none)."""
 
     balancers: int
     servers: int
     standing: int
-    life: float = 6_000.0
+    lifetime_ms: float = 6_000.0
     groups: int = 0
-    busy: Mapping[int, float] | None = None  # balancers that get so many times the others' part
+    busy: Mapping[int, float] | None = None  # relative share of arrivals by balancer number, 1.0 by default
 
 
-def played(crowd: Crowd, seed: int, seconds: float) -> tuple[Evenness | None, Fleet]:
-    """The crowd for so many seconds; how evenly it stood, and the fleet as it was in the end."""
+def play_crowd(crowd: Crowd, seed: int, seconds: float) -> tuple[Evenness | None, Fleet]:
+    """Simulate the crowd for `seconds`; return the evenness of the load and the fleet at the end."""
     fleet = Fleet(crowd.servers, crowd.balancers, seed, warm_capacity=crowd.standing * 4 / 3 / crowd.servers)
     rng = random.Random(seed ^ 0x5B)
-    weights = [(crowd.busy or {}).get(me, 1.0) for me in range(crowd.balancers)]
+    weights = [(crowd.busy or {}).get(balancer, 1.0) for balancer in range(crowd.balancers)]
     ends: list[tuple[float, str]] = []
-    seen: list[Second] = []
-    began, due, look = fleet.now, fleet.now, fleet.now + WARM
-    while due < began + seconds * 1_000.0:
-        due += rng.expovariate(crowd.standing / crowd.life)
-        while (ends and ends[0][0] <= min(due, look)) or look <= due:
-            if ends and ends[0][0] <= look:
-                at, ident = heapq.heappop(ends)
+    samples: list[Second] = []
+    started_at, next_arrival, next_sample = fleet.now, fleet.now, fleet.now + WARM_UP_MS
+    while next_arrival < started_at + seconds * 1_000.0:
+        next_arrival += rng.expovariate(crowd.standing / crowd.lifetime_ms)
+        while (ends and ends[0][0] <= min(next_arrival, next_sample)) or next_sample <= next_arrival:
+            if ends and ends[0][0] <= next_sample:
+                at, connection_id = heapq.heappop(ends)
                 fleet.advance(max(fleet.now, at))
-                fleet.leave(ident)
+                fleet.leave(connection_id)
                 continue
-            fleet.advance(look)
+            fleet.advance(next_sample)
             held = fleet.held()
-            seen.append(Second(look - began, tuple(held[server.id] for server in fleet.servers)))
-            look += STEP
-        fleet.advance(due)
+            samples.append(
+                Second(next_sample - started_at, tuple(held[server.id] for server in fleet.servers))
+            )
+            next_sample += SAMPLE_INTERVAL_MS
+        fleet.advance(next_arrival)
         group = rng.randrange(crowd.groups) * 0x9E3779B97F4A7C15 if crowd.groups else None
         placed = fleet.place(group, rng.choices(range(crowd.balancers), weights)[0])
         if placed is not None:
-            heapq.heappush(ends, (due + rng.expovariate(1.0 / crowd.life), placed))
-    return evenness(seen, [1.0] * crowd.servers), fleet
+            heapq.heappush(ends, (next_arrival + rng.expovariate(1.0 / crowd.lifetime_ms), placed))
+    return evenness(samples, [1.0] * crowd.servers), fleet
 
 
 def mean(crowd: Crowd, seeds: range, seconds: float = 12.0) -> dict[str, float]:
-    """The means over some seeds; `worst` is the highest, `us` the processor time of one event."""
+    """Return means over the seeds and the maximum of `worst`; `us` is the processor time of an event."""
     found, us = [], []
     for seed in seeds:
-        even, fleet = played(crowd, seed, seconds)
+        result, fleet = play_crowd(crowd, seed, seconds)
         us.append(1e6 * fleet.cpu / max(1, fleet.events))
-        if even is not None:
-            found.append(even)
+        if result is not None:
+            found.append(result)
     return {
-        "fullest": statistics.mean(even.fullest for even in found),
-        "emptiest": statistics.mean(even.emptiest for even in found),
-        "worst": max(even.worst for even in found),
-        "chance": statistics.mean(even.chance for even in found),
+        "fullest": statistics.mean(result.fullest for result in found),
+        "emptiest": statistics.mean(result.emptiest for result in found),
+        "worst": max(result.worst for result in found),
+        "chance": statistics.mean(result.chance for result in found),
         "us": statistics.mean(us),
     }
--- a/benchmarks/start/__init__.py
+++ b/benchmarks/start/__init__.py
@@ -1,1 +1,1 @@
-"""A start without discovery, beside another tree of the program: see `__main__`."""
+"""Start-up without discovery, compared with another source tree, and the cost of the store."""
--- a/benchmarks/start/costs.py
+++ b/benchmarks/start/costs.py
@@ -1,4 +1,4 @@
-"""What keeping a store costs: a restore, list changes, memory, commits."""
+"""Cost of the store: restoring, list changes, memory and commits."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from puffinford.state.recovery import ListGuard
 
 
-def machines(count: int) -> list[ServerEntry]:
-    """A fleet of so many."""
+def server_entries(count: int) -> list[ServerEntry]:
+    """Return `count` entries of a server list."""
     return [
         ServerEntry(Server(f"s-{n:08x}", "a", "rapido", n % 8), f"127.0.{n // 250 % 250}.{n % 250}", 8081)
         for n in range(count)
@@ -34,101 +34,105 @@
 
 
 def restore(count: int, durable: bool) -> float:
-    """Ms from an existing store of `count` servers to a module that holds them."""
+    """Return the ms from opening a store of `count` servers until the decision module has them."""
     with tempfile.TemporaryDirectory() as directory:
         place = (Path(directory) / "state", durable)
         clock = Clock()
-        told = StateSettings(size=64 << 20)
-        kept = Keeper(told, place, clock, list, lambda _: None)
-        kept.note_list(ServerEntries(1, True, machines(count)))
-        kept._commit_now()
-        assert kept._store is not None
-        kept._store.close()
+        settings = StateSettings(size=64 << 20)
+        state_keeper = Keeper(settings, place, clock, list, lambda _: None)
+        state_keeper.note_list(ServerEntries(1, True, server_entries(count)))
+        state_keeper._commit_now()
+        assert state_keeper._store is not None
+        state_keeper._store.close()
         exchange = _exchange(clock)
         gc.collect()
-        began = time.perf_counter()
-        kept = Keeper(told, place, clock, exchange.health, exchange.learn)
-        start = kept.start(None)
+        started_at = time.perf_counter()
+        state_keeper = Keeper(settings, place, clock, exchange.health, exchange.learn)
+        start = state_keeper.start(None)
         exchange._apply_list(start.restored.entries, ListKind.RESTORED)
-        took = (time.perf_counter() - began) * 1_000.0
-        assert len(start.restored.entries.entries) == count and kept._store is not None
-        kept._store.close()
-        return took
+        elapsed = (time.perf_counter() - started_at) * 1_000.0
+        assert len(start.restored.entries.entries) == count and state_keeper._store is not None
+        state_keeper._store.close()
+        return elapsed
 
 
-def changes(count: int, a_second: float, seconds: float) -> tuple[float, float]:
-    """Part of a core that list changes take: of the store's part, and of all with the module."""
+def changes(count: int, changes_per_s: float, seconds: float) -> tuple[float, float]:
+    """Return the share of a core that list changes take in the store, and in store and module together."""
     with tempfile.TemporaryDirectory() as directory:
         clock, rng = Clock(), Random(3)
         exchange = _exchange(clock)
-        kept = Keeper(
+        state_keeper = Keeper(
             StateSettings(), (Path(directory) / "state", False), clock, exchange.health, exchange.learn
         )
-        fleet = machines(count)
+        fleet = server_entries(count)
         guard = ListGuard()
         spent = {"store": 0.0, "all": 0.0}
 
-        def take(told: ServerEntries) -> None:
-            began = time.thread_time()
-            taken = guard.judge(told)
-            assert taken.entries is not None
-            exchange.take_list(taken.entries)
-            middle = time.thread_time()
-            kept.note_list(taken.entries)
+        def apply_list(entries: ServerEntries) -> None:
+            started_at = time.thread_time()
+            judged = guard.judge(entries)
+            assert judged.entries is not None
+            exchange.take_list(judged.entries)
+            applied_at = time.thread_time()
+            state_keeper.note_list(judged.entries)
             end = time.thread_time()
-            spent["store"] += end - middle
-            spent["all"] += end - began
+            spent["store"] += end - applied_at
+            spent["all"] += end - started_at
 
         async def story() -> None:
-            began, cpu = time.monotonic(), 0.0
+            started_at, cpu = time.monotonic(), 0.0
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(kept.run)
-                take(ServerEntries(1, True, fleet))
+                tasks.start_soon(state_keeper.run)
+                apply_list(ServerEntries(1, True, fleet))
                 await anyio.sleep(1.0)
                 spent.update(store=0.0, all=0.0)
-                began, cpu = time.monotonic(), time.process_time()
+                started_at, cpu = time.monotonic(), time.process_time()
                 version = 1
-                while time.monotonic() - began < seconds:
+                while time.monotonic() - started_at < seconds:
                     version += 1
-                    one = rng.choice(fleet)
+                    entry = rng.choice(fleet)
                     state = rng.choice((ServerState.LIVE, ServerState.DRAINING))
-                    server = Server(one.server.id, one.server.zone, one.server.kind, one.server.cell, state)
-                    take(ServerEntries(version, False, [ServerEntry(server, one.host, one.port)]))
-                    await anyio.sleep(1.0 / a_second)
+                    server = Server(
+                        entry.server.id, entry.server.zone, entry.server.kind, entry.server.cell, state
+                    )
+                    apply_list(ServerEntries(version, False, [ServerEntry(server, entry.host, entry.port)]))
+                    await anyio.sleep(1.0 / changes_per_s)
                 cpu = time.process_time() - cpu
-                took = time.monotonic() - began
-                # What is neither the module's nor the lists' is the writing.
-                spent["store"] = (cpu - (spent["all"] - spent["store"])) / took
-                spent["all"] = cpu / took
+                elapsed = time.monotonic() - started_at
+                # The time spent neither in the module nor on lists is spent writing.
+                spent["store"] = (cpu - (spent["all"] - spent["store"])) / elapsed
+                spent["all"] = cpu / elapsed
                 tasks.cancel_scope.cancel()
 
         anyio.run(story)
         return spent["store"], spent["all"]
 
 
-def commit(pairs: int, durable: bool, runs: int = 50) -> float:
-    """Median ms of a commit of so many records."""
+def commit(record_count: int, durable: bool, runs: int = 50) -> float:
+    """Return the median ms of a commit of `record_count` records."""
     with tempfile.TemporaryDirectory() as directory:
-        kept = Keeper(StateSettings(), (Path(directory) / "state", durable), Clock(), list, lambda _: None)
-        assert kept._store is not None
+        state_keeper = Keeper(
+            StateSettings(), (Path(directory) / "state", durable), Clock(), list, lambda _: None
+        )
+        assert state_keeper._store is not None
         times = []
-        for turn in range(runs):
-            state = ServerState.DRAINING if turn % 2 else ServerState.LIVE
-            kept.note_list(
+        for run in range(runs):
+            state = ServerState.DRAINING if run % 2 else ServerState.LIVE
+            state_keeper.note_list(
                 ServerEntries(
-                    turn,
+                    run,
                     False,
-                    [ServerEntry(Server(f"s-{n}", state=state), "127.0.0.1", n) for n in range(pairs)],
+                    [ServerEntry(Server(f"s-{n}", state=state), "127.0.0.1", n) for n in range(record_count)],
                 )
             )
-            due, kept._due = kept._due, {}
-            times.append(kept._store.write(due))
-        kept._store.close()
+            pending, state_keeper._due = state_keeper._due, {}
+            times.append(state_keeper._store.write(pending))
+        state_keeper._store.close()
         return sorted(times)[runs // 2]
 
 
 def memory(modules: str) -> float:
-    """MB of resident memory that importing these adds to a process that has the rest of serving."""
+    """Return the resident memory (MB) that importing `modules` adds to a serving process."""
     code = (
         "import sys, asyncio, anyio, h11, yaml, json, logging\n"
         "import puffinford.core.exchange, puffinford.fronts.lines.server, puffinford.management.http\n"
--- a/benchmarks/start/story.py
+++ b/benchmarks/start/story.py
@@ -1,4 +1,4 @@
-"""The story that is measured: ten listed servers, half of them dead, one draining, discovery absent."""
+"""A story without discovery: of ten listed servers, five are unreachable and one is draining."""
 
 from __future__ import annotations
 
@@ -27,121 +27,127 @@
 )
 from puffinford.state.store import copy_to
 
-KINDS = [
+CLIENT_CLASSES = [
     ClientClass("price-lookup", 52.0, 2_000.0, 500.0, 8_000.0),
     ClientClass("basket-sync", 32.0, 1_800.0, 300.0, 8_000.0),
     ClientClass("till-status", 16.0, 3_000.0, 500.0, 16_000.0, worth=2.0),
 ]
-REFUSING = ("gw-01", "gw-04", "gw-07")
-SILENT = ("gw-02", "gw-08")
-DRAINING = "gw-05"
-WANTED = 500.0  # ms within which a job is to be up
-SETTLE = 3_000.0  # openings of the last moments may still wait
+REFUSING_SERVERS = ("gw-01", "gw-04", "gw-07")
+SILENT_SERVERS = ("gw-02", "gw-08")
+DRAINING_SERVER = "gw-05"
+TARGET_MS = 500.0  # within which a request should be established
+SETTLE_MS = 3_000.0  # requests at the end of a run, which may still be pending, are excluded
 
 
 @dataclass
 class Result:
-    """What one run came to."""
+    """The results of one run."""
 
     asked: int = 0
     up: int = 0
     in_time: int = 0
     refused: int = 0
-    first_ms: float = float("nan")  # from the start of serving to the first UP
+    first_ms: float = float("nan")  # from the first request to the first UP
     p50: float = float("nan")
     p99: float = float("nan")
     to_draining: int = 0
-    dead_paid_twice: int = 0  # jobs with claims at two dead servers or more
+    dead_paid_twice: int = 0  # requests with attempts at two or more silent servers
     broken: list[str] = field(default_factory=list)
 
     @property
     def share(self) -> float:
-        """Of the openings, those up in time."""
+        """The fraction of requests that were established in time."""
         return self.in_time / max(1, self.asked)
 
 
 def read(trace: Trace) -> Result:
-    """The figures of a trace; a job is one opening, whether it is a client's first or a later one."""
-    made = Result()
-    until = trace.elapsed - SETTLE
+    """Compute the results from a trace; every connection request of a client counts."""
+    outcome = Result()
+    until = trace.elapsed - SETTLE_MS
     asked = {entry.job for entry in trace.of(EventKind.REQUESTED) if entry.at <= until}
     ups = sorted(entry.ms for entry in trace.of(EventKind.UP) if entry.job in asked)
-    made.asked, made.up = len(asked), len(ups)
-    made.in_time = sum(ms <= WANTED for ms in ups)
-    made.refused = sum(entry.job in asked for entry in trace.of(EventKind.BUSY))
+    outcome.asked, outcome.up = len(asked), len(ups)
+    outcome.in_time = sum(ms <= TARGET_MS for ms in ups)
+    outcome.refused = sum(entry.job in asked for entry in trace.of(EventKind.BUSY))
     firsts = [entry.at for entry in trace.of(EventKind.UP)]
     arrivals = [entry.at for entry in trace.of(EventKind.REQUESTED)]
     if firsts:
-        # The first opening may come late by chance: what counts is what the balancer adds.
-        made.first_ms = min(firsts) - min(arrivals)
+        # Starts at the first arrival, whose time is random, to measure only the balancer.
+        outcome.first_ms = min(firsts) - min(arrivals)
     if ups:
-        made.p50, made.p99 = ups[len(ups) // 2], ups[min(len(ups) - 1, int(len(ups) * 0.99))]
-    dead: dict[str, set[str]] = {}
+        outcome.p50, outcome.p99 = ups[len(ups) // 2], ups[min(len(ups) - 1, int(len(ups) * 0.99))]
+    silent_attempts: dict[str, set[str]] = {}
     for entry in trace.of(EventKind.ATTEMPT):
-        made.to_draining += entry.server == DRAINING
-        if entry.server in SILENT:
-            dead.setdefault(entry.job, set()).add(entry.server)
-    made.dead_paid_twice = sum(len(servers) > 1 for servers in dead.values())
-    made.broken = rules(trace, until)
+        outcome.to_draining += entry.server == DRAINING_SERVER
+        if entry.server in SILENT_SERVERS:
+            silent_attempts.setdefault(entry.job, set()).add(entry.server)
+    outcome.dead_paid_twice = sum(len(servers) > 1 for servers in silent_attempts.values())
+    outcome.broken = rules(trace, until)
     answered = {entry.job for entry in trace.of(*ANSWERS)}
-    made.broken += [f"{job}: no answer" for job in asked - answered]
-    return made
+    outcome.broken += [f"{request_id}: no answer" for request_id in asked - answered]
+    return outcome
 
 
 def script(seconds: float, seed: int, directory: Path | None) -> Script:
-    """The play; `directory` is where the store is, None for a tree that knows none."""
+    """Return the script; `directory` holds the store, None for a source tree without one."""
     servers = {f"gw-{n:02}": ServerProfile(set_up=5.0, capacity=400) for n in range(10)}
     operators = f'section state\n directory "{directory}"\n' if directory is not None else ""
-    return Script(seed=seed, seconds=seconds, rate=20.0, kinds=KINDS, servers=servers, operators=operators)
+    return Script(
+        seed=seed, seconds=seconds, rate=20.0, kinds=CLIENT_CLASSES, servers=servers, operators=operators
+    )
 
 
 def prepare_servers(play: Play) -> None:
-    """Half of them dead, one draining."""
-    for ident in REFUSING:
-        play.servers[ident].become("refusing")
-    for ident in SILENT:
-        play.servers[ident].become("silent")
-    play.servers[DRAINING].become("draining")
+    """Make five servers unreachable and one draining."""
+    for server_id in REFUSING_SERVERS:
+        play.servers[server_id].become("refusing")
+    for server_id in SILENT_SERVERS:
+        play.servers[server_id].become("silent")
+    play.servers[DRAINING_SERVER].become("draining")
 
 
-def entries(play: Play) -> list[dict[str, object]]:
-    """The list as discovery told it before it went away."""
+def list_entries(play: Play) -> list[dict[str, object]]:
+    """Return the server list as discovery last announced it."""
     return [
-        {"id": ident, "addr": server.address, "state": "leaving" if ident == DRAINING else "active"}
-        for ident, server in play.servers.items()
+        {
+            "id": server_id,
+            "addr": server.address,
+            "state": "leaving" if server_id == DRAINING_SERVER else "active",
+        }
+        for server_id, server in play.servers.items()
     ]
 
 
-def write_store(play: Play, directory: Path, old_ms: float) -> None:
-    """A store as a balancer left it so long ago."""
-    confirmed = time.time() * 1_000.0 - old_ms
+def write_store(play: Play, directory: Path, age_ms: float) -> None:
+    """Write a store that a balancer last confirmed `age_ms` ago."""
+    confirmed = time.time() * 1_000.0 - age_ms
     pairs = [(LIST_KEY, encode(LIST_KEY, ListRecord(41, len(play.servers)), confirmed))]
-    for entry in entries(play):
+    for entry in list_entries(play):
         host, _, port = str(entry["addr"]).rpartition(":")
-        ident = str(entry["id"])
-        record = ServerRecord(ident, host, int(port), "lines", str(entry["state"]), 41)
-        pairs.append((server_key(ident), encode(server_key(ident), record, confirmed)))
+        server_id = str(entry["id"])
+        record = ServerRecord(server_id, host, int(port), "lines", str(entry["state"]), 41)
+        pairs.append((server_key(server_id), encode(server_key(server_id), record, confirmed)))
     directory.mkdir(parents=True, exist_ok=True)
     path = state_path(str(directory), "n1")
     assert path is not None
     copy_to(pairs, path.with_name(path.name + ".state"), 4 << 20)
 
 
-def run(seconds: float, seed: int, old_ms: float, work: Path, root: Path | None = None) -> Result:
-    """One run. With `root`, the program of that tree, which has the list in its configuration alone."""
+def run(seconds: float, seed: int, age_ms: float, work: Path, root: Path | None = None) -> Result:
+    """Play the story once; with `root`, run the program of that tree with the list in its configuration."""
     store = work / "store" if root is None else None
     play = Play(script(seconds, seed, store), work, root)
 
     def prepare(play: Play) -> None:
         prepare_servers(play)
         if store is not None:
-            write_store(play, store, old_ms)
+            write_store(play, store, age_ms)
             return
         balancer: BalancerProcess = play.balancers[0]
-        config = work / f"{balancer.name}.json"
-        told = json.loads(config.read_text())
-        told["known"] = {"version": 41, "full": True, "servers": entries(play)}
-        config.write_text(json.dumps(told))
+        config_path = work / f"{balancer.name}.json"
+        config = json.loads(config_path.read_text())
+        config["known"] = {"version": 41, "full": True, "servers": list_entries(play)}
+        config_path.write_text(json.dumps(config))
 
     async def story() -> Trace:
         return await play.run(prepare=prepare, discovery="absent")
@@ -150,5 +156,5 @@
 
 
 def median_run(results: Sequence[Result]) -> Result:
-    """The run whose share is the middle one."""
+    """Return the run with the median share."""
     return sorted(results, key=lambda result: result.share)[len(results) // 2]
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,6 +1,6 @@
-"""What a real balancer needs among sixteen times the servers, beside what the operators allow.
+"""Guards against resource use of a balancer above the allowed limits with 16 times the servers.
 
-CPU is left to `make bench-size` and to the module's own test: it is no figure of a shared machine.
+CPU is covered by `make bench-size` and by a test of the module, since it varies on a shared machine.
 """
 
 from __future__ import annotations
