--- a/benchmarks/rebalance/model.py
+++ b/benchmarks/rebalance/model.py
@@ -116,9 +116,8 @@
             times.append(self.now)
             while times[0] < self.now - 1_000.0:
                 times.pop(0)
-            warm_rate = (
-                sum(self.total_connections) / len(self.total_connections) / (WARM_UP_MS / 1_000.0)
-            )  # a second, when warm
+            # Connections per second that a warm server takes.
+            warm_rate = sum(self.total_connections) / len(self.total_connections) / (WARM_UP_MS / 1_000.0)
             budget = BUDGET_MULTIPLE * self.warmth(server) * max(warm_rate, COLD_CONNECTIONS_PER_S)
             self.outcome.fill = max(self.outcome.fill, len(times) / budget)
         self.outcome.placed_back += server in self.previous_servers.get(client, ())
