--- a/benchmarks/scale/kept_runs.py
+++ b/benchmarks/scale/kept_runs.py
@@ -1,4 +1,4 @@
-"""Outcomes of scale runs as records, and the file that keeps them."""
+"""Converts outcomes of scale runs to records, and stores them in the results file."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from pathlib import Path
 from statistics import fmean
 
-from benchmarks.scale.records import SCHEMA, Provenance, RunResults, ScaleRun, Told, read, write
+from benchmarks.scale.records import SCHEMA, PropagationTimes, Provenance, RunResults, ScaleRun, read, write
 from puffinford.scale import propagation
 from puffinford.scale.outcome import BalancerLoad, RunOutcome
 
 
-def record(outcome: RunOutcome, measured: Provenance) -> ScaleRun:
-    """A run as it is kept."""
+def make_record(outcome: RunOutcome, measured: Provenance) -> ScaleRun:
+    """Return the record of a run for the results file."""
     lists, hollow, real = outcome.list_service, outcome.hollow_load, outcome.real_load
     calls, size = _per_balancer(outcome)
     return ScaleRun(
@@ -32,8 +32,8 @@
         source_calls_peak=lists.peak_calls_per_s,
         source_bytes_per_s=round((lists.sent_bytes + lists.received_bytes) / outcome.seconds, 1),
         source_core_pct=lists.cpu_percent,
-        told_hollow=_told(outcome.hollow_propagation),
-        told_real=_told(outcome.real_propagation),
+        told_hollow=_propagation_times(outcome.hollow_propagation),
+        told_real=_propagation_times(outcome.real_propagation),
         calls_per_balancer_s=calls,
         bytes_per_balancer_s=size,
         hollow_core_pct=hollow.cpu_percent,
@@ -55,8 +55,8 @@
     )
 
 
-def _told(seen: propagation.PropagationStats) -> Told:
-    return Told(
+def _propagation_times(seen: propagation.PropagationStats) -> PropagationTimes:
+    return PropagationTimes(
         seen.balancers,
         seen.changes,
         round(seen.p50_ms / 1_000.0, 4),
@@ -67,7 +67,10 @@
 
 
 def _per_balancer(outcome: RunOutcome) -> tuple[float, float]:
-    """Calls and bytes a second; behind relays their answers alone, and 0 where they logged too little."""
+    """Return the calls and bytes per second of one balancer.
+
+    Behind relays only the relays' answers count; the result is 0 if the relays logged too little.
+    """
     load: BalancerLoad = outcome.hollow_load
     if load.calls_per_s is not None and load.bytes_per_s is not None:
         return load.calls_per_s, load.bytes_per_s
@@ -81,16 +84,16 @@
     return round(fmean(values), 2) if values else 0.0
 
 
-def keep(path: Path, new: Sequence[ScaleRun]) -> None:
-    """Add runs to a results file, each in place of one of the same story, size and settings.
+def store_runs(path: Path, new: Sequence[ScaleRun]) -> None:
+    """Add runs to a results file; each replaces a stored run of the same story, size and settings.
 
-    Raises BadRecord where the file cannot be used.
+    Raises BadRecord if the file is invalid.
     """
-    held = read(path, RunResults).runs if path.exists() else []
-    fresh = {_key(run): run for run in new}
-    kept = [run for run in held if _key(run) not in fresh]
+    stored = read(path, RunResults).runs if path.exists() else []
+    fresh = {_run_key(run): run for run in new}
+    kept = [run for run in stored if _run_key(run) not in fresh]
     write(path, RunResults(SCHEMA, [*kept, *fresh.values()]))
 
 
-def _key(run: ScaleRun) -> tuple[object, ...]:
+def _run_key(run: ScaleRun) -> tuple[object, ...]:
     return run.story, run.hollow, run.real, run.relays, run.servers, run.service_ms, run.seed
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -31,11 +31,11 @@
     SLOPES,
     Fit,
     Point,
+    PropagationTimes,
     Provenance,
     RunResults,
     ScaleRun,
     SlopeResults,
-    Told,
     this_machine,
     write,
 )
@@ -80,8 +80,8 @@
     return SlopeResults(SCHEMA, [MEASURED], points, fits)
 
 
-def notified_within(seconds: float) -> Told:
-    return Told(7_500, 1, seconds, seconds, seconds, 0)
+def notified_within(seconds: float) -> PropagationTimes:
+    return PropagationTimes(7_500, 1, seconds, seconds, seconds, 0)
 
 
 def synthetic_run(relays: int, held: bool = True) -> ScaleRun:
@@ -180,7 +180,7 @@
 
 
 def test_a_run_that_was_late_or_missed_somebody_says_no() -> None:
-    late, missed = notified_within(3.1), Told(7_500, 1, 0.1, 0.1, 0.1, 1)
+    late, missed = notified_within(3.1), PropagationTimes(7_500, 1, 0.1, 0.1, 0.1, 1)
     for found in (late, missed):
         other = msgspec.structs.replace(synthetic_run(6), told_real=found)
         page = render(compute_capacity(read_targets(TARGETS), None, RunResults(SCHEMA, [other])))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -107,7 +107,7 @@
 
 
 def paired_plan(skip: Skip = Skip.NOTHING) -> RunPlan:
-    plan = replace(bench.twins(1, skip, 4.0), max_lost_fraction=float("inf"), bounds=UNTIMED)
+    plan = replace(bench.agreement_plan(1, skip, 4.0), max_lost_fraction=float("inf"), bounds=UNTIMED)
     return replace(plan, hollow=REAL_BALANCERS, real=REAL_BALANCERS, servers=20)
 
 
