--- a/benchmarks/rebalance/cost.py
+++ b/benchmarks/rebalance/cost.py
@@ -9,8 +9,8 @@
 from puffinford import Balancer, Settings
 from puffinford import interface as it
 from puffinford.interface import ListKind, RequestClass, Server, ServerList
-from puffinford.rebalance.planner import Candidate, Figures, Place, Planner
-from puffinford.rebalance.service import ROUND
+from puffinford.rebalance.planner import Candidate, Planner, PlannerSettings, ServerLoad
+from puffinford.rebalance.service import ROUND_INTERVAL_MS
 
 
 def core_share(connections: int, servers: int, rounds: int = 200) -> float:
@@ -24,12 +24,12 @@
             if isinstance(action, it.Attempt):
                 balancer.handle(now, [it.Established(action.id, 0, action.server, 1.0)])
     balancer.handle(now, [ServerList(ListKind.REPLACE, named)])
-    planner = Planner(Figures(settle=0.0, young=0.0), random.Random(1))
+    planner = Planner(PlannerSettings(settle_time=0.0, min_age=0.0), random.Random(1))
     began = time.process_time()
     for _ in range(rounds):
-        now += ROUND
+        now += ROUND_INTERVAL_MS
         places = [
-            Place(s.server, s.load, s.capacity, s.usable, s.degraded, s.connection_count)
+            ServerLoad(s.server, s.load, s.capacity, s.usable, s.degraded, s.connection_count)
             for s in balancer.survey(now)
         ]
         planner.observe(now, places)
@@ -38,7 +38,7 @@
                 Candidate(f.id, f.key, source.id, f.cls, 1.0, f.load, now - f.placed_at)
                 for f in balancer.listed_servers.sample_established(source.id, 64)
             ]
-            planned = planner.choose(now, sample, partial(balancer.best_server, now=now))
+            planned = planner.choose_move(now, sample, partial(balancer.best_server, now=now))
             if planned is not None:
-                balancer.handle(now, [it.Relocate(planned.job, planned.target, 2_500.0)])
-    return (time.process_time() - began) / (rounds * ROUND / 1_000.0)
+                balancer.handle(now, [it.Relocate(planned.request_id, planned.target, 2_500.0)])
+    return (time.process_time() - began) / (rounds * ROUND_INTERVAL_MS / 1_000.0)
--- a/benchmarks/rebalance/model.py
+++ b/benchmarks/rebalance/model.py
@@ -13,8 +13,8 @@
 import time
 from dataclasses import dataclass, field
 
-from puffinford.rebalance.pace import PaceFigures
-from puffinford.rebalance.planner import Candidate, Figures, Place, Planner
+from puffinford.rebalance.pace import PaceSettings
+from puffinford.rebalance.planner import Candidate, Planner, PlannerSettings, ServerLoad
 
 COLD_FROM, WARM_MS = 0.13, 23_000.0
 COLD_RATE = 40.0  # connections a second that all balancers together bring a cold server, by its warmth
@@ -52,8 +52,12 @@
         self.credit = [[0.0] * servers for _ in range(balancers)]
         self.credit_at = [[0.0] * servers for _ in range(balancers)]
         self.arrivals: dict[int, list[float]] = {}
-        figures = Figures(
-            rest=60_000.0, settle=3_000.0, young=0.0, sample=16, pace=PaceFigures(2.0, 0.2, 12.0, gain=0.1)
+        figures = PlannerSettings(
+            move_cooldown=60_000.0,
+            settle_time=3_000.0,
+            min_age=0.0,
+            sample_size=16,
+            pace=PaceSettings(2.0, 0.2, 12.0, gain=0.1),
         )
         self.planners = [
             Planner(figures, random.Random(seed * 1_000 + n), balancers) for n in range(balancers)
@@ -122,17 +126,17 @@
             self.outcome.fill = max(self.outcome.fill, len(times) / budget)
         self.outcome.strayed += server in self.was.get(client, ())
         self._place(balancer, server, client)
-        self.planners[balancer].returned(self.now, client, str(server), 5.0)
+        self.planners[balancer].on_established(self.now, client, str(server), 5.0)
 
     def _round(self, balancer: int, due: list[tuple[float, int]]) -> None:
         planner, own = self.planners[balancer], self.own[balancer]
-        planner.lost_sight(self.now)
+        planner.expire_returns(self.now)
         places = [
-            Place(str(server), own[server], self.warmth(server), connection_count=own[server])
+            ServerLoad(str(server), own[server], self.warmth(server), connection_count=own[server])
             for server in range(len(own))
         ]
         why = planner.observe(self.now, places)
-        while why is None and planner.pace.due(self.now):
+        while why is None and planner.pace.is_due(self.now):
             planned = None
             for source in planner.sources()[:4]:
                 server = int(source.id)
@@ -151,7 +155,7 @@
                     )
                     for c in some
                 ]
-                planned = planner.choose(self.now, sample, lambda _: str(self.pick(balancer)))
+                planned = planner.choose_move(self.now, sample, lambda _: str(self.pick(balancer)))
                 if planned is not None:
                     break
             if planned is None:
--- a/benchmarks/start/costs.py
+++ b/benchmarks/start/costs.py
@@ -17,8 +17,8 @@
 from puffinford.core.values import ServerEntries, ServerEntry
 from puffinford.interface import ListKind, RequestClass, Server, ServerState, Settings
 from puffinford.operators.schema import StateSettings
-from puffinford.state.keeper import Keeper
-from puffinford.state.recovery import ListGuard
+from puffinford.state.keeper import StateKeeper
+from puffinford.state.recovery import ListValidator
 
 
 def machines(count: int) -> list[ServerEntry]:
@@ -39,7 +39,7 @@
         place = (Path(directory) / "state", durable)
         clock = Clock()
         told = StateSettings(size=64 << 20)
-        kept = Keeper(told, place, clock, list, lambda _: None)
+        kept = StateKeeper(told, place, clock, list, lambda _: None)
         kept.note_list(ServerEntries(1, True, machines(count)))
         kept._commit_now()
         assert kept._store is not None
@@ -47,7 +47,7 @@
         exchange = _exchange(clock)
         gc.collect()
         began = time.perf_counter()
-        kept = Keeper(told, place, clock, exchange.health, exchange.learn)
+        kept = StateKeeper(told, place, clock, exchange.health, exchange.learn)
         start = kept.start(None)
         exchange._apply_list(start.restored.entries, ListKind.RESTORED)
         took = (time.perf_counter() - began) * 1_000.0
@@ -61,16 +61,16 @@
     with tempfile.TemporaryDirectory() as directory:
         clock, rng = Clock(), Random(3)
         exchange = _exchange(clock)
-        kept = Keeper(
+        kept = StateKeeper(
             StateSettings(), (Path(directory) / "state", False), clock, exchange.health, exchange.learn
         )
         fleet = machines(count)
-        guard = ListGuard()
+        guard = ListValidator()
         spent = {"store": 0.0, "all": 0.0}
 
         def take(told: ServerEntries) -> None:
             began = time.thread_time()
-            taken = guard.judge(told)
+            taken = guard.validate(told)
             assert taken.entries is not None
             exchange.take_list(taken.entries)
             middle = time.thread_time()
@@ -109,7 +109,9 @@
 def commit(pairs: int, durable: bool, runs: int = 50) -> float:
     """Median ms of a commit of so many records."""
     with tempfile.TemporaryDirectory() as directory:
-        kept = Keeper(StateSettings(), (Path(directory) / "state", durable), Clock(), list, lambda _: None)
+        kept = StateKeeper(
+            StateSettings(), (Path(directory) / "state", durable), Clock(), list, lambda _: None
+        )
         assert kept._store is not None
         times = []
         for turn in range(runs):
--- a/benchmarks/start/story.py
+++ b/benchmarks/start/story.py
@@ -25,7 +25,7 @@
     encode,
     server_key,
 )
-from puffinford.state.store import copy_to
+from puffinford.state.store import replace_store
 
 KINDS = [
     ClientClass("price-lookup", 52.0, 2_000.0, 500.0, 8_000.0),
@@ -124,7 +124,7 @@
     directory.mkdir(parents=True, exist_ok=True)
     path = state_path(str(directory), "n1")
     assert path is not None
-    copy_to(pairs, path.with_name(path.name + ".state"), 4 << 20)
+    replace_store(pairs, path.with_name(path.name + ".state"), 4 << 20)
 
 
 def run(seconds: float, seed: int, old_ms: float, work: Path, root: Path | None = None) -> Result:
--- a/puffinford/cli/state.py
+++ b/puffinford/cli/state.py
@@ -16,9 +16,9 @@
 from puffinford.operators.schema import StateSettings
 from puffinford.operators.units import show_duration, show_size
 from puffinford.state import records, store
-from puffinford.state.keeper import store_file, weights
+from puffinford.state.keeper import store_file, trust_settings
 from puffinford.state.records import HealthRecord, ListRecord, ServerRecord, Stored
-from puffinford.state.trust import age, trust
+from puffinford.state.trust import age, trust_level
 from puffinford.text_table import format_table
 
 FORMAT = "puffinford-state"
@@ -64,7 +64,7 @@
 def _inspect(path: Path) -> Stored:
     try:
         return store.inspect(path)
-    except store.StoreFailed as exc:
+    except store.StoreError as exc:
         fail(str(exc), 1)
         raise
 
@@ -90,7 +90,9 @@
     path, told = _place(settings, file, name)
     stored = _inspect(path)
     now = time.time() * 1_000.0
-    level = trust(age(stored.confirmed, now), weights(told)) if stored.entries >= 0 else 0.0
+    level = (
+        trust_level(age(stored.confirmed_at, now), trust_settings(told)) if stored.entry_count >= 0 else 0.0
+    )
     rows = []
     for ident, (server, confirmed) in sorted(stored.servers.items()):
         health = stored.health.get(ident)
@@ -111,20 +113,20 @@
         told_list = {
             "file": str(path),
             "version": stored.version,
-            "confirmed_ms": stored.confirmed,
+            "confirmed_ms": stored.confirmed_at,
             "trust": round(level, 3),
-            "whole": stored.whole,
-            "rejected": stored.rotten,
+            "whole": stored.is_complete,
+            "rejected": stored.rejected,
             "servers": [dict(zip(heads, row, strict=True)) for row in rows],
         }
         click.echo(json.dumps(told_list, indent=1))
         return
     click.echo(
-        f"{path}: version {stored.version}, confirmed {_when(stored.confirmed)}"
-        f" ({_old(stored.confirmed, now)} ago), trust {level:.2f},"
-        f" {stored.listed} listed, {len(stored.servers) - stored.listed} left"
+        f"{path}: version {stored.version}, confirmed {_when(stored.confirmed_at)}"
+        f" ({_old(stored.confirmed_at, now)} ago), trust {level:.2f},"
+        f" {stored.listed_count} listed, {len(stored.servers) - stored.listed_count} left"
     )
-    for text in stored.rotten:
+    for text in stored.rejected:
         click.echo(f"rejected {text}")
     if rows:
         click.echo(format_table(heads, rows))
@@ -154,7 +156,7 @@
         FORMAT,
         records.SCHEMA,
         stored.version,
-        stored.confirmed,
+        stored.confirmed_at,
         [(confirmed, record) for record, confirmed in stored.servers.values()],
         [(confirmed, record) for record, confirmed in stored.health.values()],
     )
@@ -178,9 +180,9 @@
     listed = sum(record.state != "left" for _, record in read.servers)
     pairs.append(_pair(records.LIST_KEY, ListRecord(read.version, listed), read.confirmed))
     try:
-        with store.writing(path):
-            store.copy_to(pairs, path, told.size)
-    except store.StoreFailed as exc:
+        with store.exclusive_writer(path):
+            store.replace_store(pairs, path, told.size)
+    except store.StoreError as exc:
         return fail(str(exc), 1)
     click.echo(f"{path}: {len(read.servers)} servers, {len(read.health)} learned")
 
@@ -196,18 +198,18 @@
     """Read every record. Exit code 1 where one cannot be used."""
     path, _ = _place(settings, file, name)
     stored = _inspect(path)
-    wrong = list(stored.rotten)
-    if stored.newer:
-        wrong.append(f"records of schema {stored.newer}, newer than {records.SCHEMA}")
-    if stored.entries >= 0 and not stored.whole:
-        wrong.append(f"{stored.entries} servers were listed, {stored.listed} are there")
+    wrong = list(stored.rejected)
+    if stored.newer_schema:
+        wrong.append(f"records of schema {stored.newer_schema}, newer than {records.SCHEMA}")
+    if stored.entry_count >= 0 and not stored.is_complete:
+        wrong.append(f"{stored.entry_count} servers were listed, {stored.listed_count} are there")
     if as_json:
         counts = {"servers": len(stored.servers), "learned": len(stored.health)}
         click.echo(json.dumps({"file": str(path), "sound": not wrong, "wrong": wrong, **counts}, indent=1))
         return fail("", 1) if wrong else None
     if wrong:
         return fail("\n".join(f"{path}: {text}" for text in wrong), 1)
-    free = show_size(store.free_space(path) // (1 << 20) * (1 << 20))
+    free = show_size(store.free_bytes(path) // (1 << 20) * (1 << 20))
     click.echo(f"{path}: sound; {len(stored.servers)} servers, {len(stored.health)} learned; {free} free")
 
 
@@ -220,10 +222,12 @@
         return fail(f"{path}: no such store", 1)
     before = path.stat().st_size
     try:
-        with store.writing(path):
-            renewal = store.renew(path, told.size)
-    except (store.StoreFailed, OSError) as exc:
+        with store.exclusive_writer(path):
+            rebuilt = store.rebuild(path, told.size)
+    except (store.StoreError, OSError) as exc:
         return fail(str(exc), 1)
-    if renewal is not None:
-        fail(f"{path}: {renewal.verdict.name.lower()}: {renewal.why} {renewal.aside}".rstrip(), 1)
+    if rebuilt is not None:
+        fail(
+            f"{path}: {rebuilt.verdict.name.lower()}: {rebuilt.reason} {rebuilt.quarantined_path}".rstrip(), 1
+        )
     click.echo(f"{path}: {show_size(before)} before, {show_size(path.stat().st_size)} now")
--- a/puffinford/rebalance/pace.py
+++ b/puffinford/rebalance/pace.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-CATCH_UP = 1_000.0  # ms of moves that may be made at once, where looks are that far apart
+MAX_CATCH_UP_MS = 1_000.0  # ms of moves that may be made at once, where looks are that far apart
 
 
 class Signal(Enum):
@@ -22,83 +22,83 @@
     SLOW_RETURN = "slow return"  # up again, and not in time
     REFUSED = "refused"  # came back and was turned away
     FAILED = "failed"  # came back and got an error
-    LATE = "late"  # messages are late at a server that took moved clients
-    STRAINED = "strained"  # most servers are: everything stops
+    DELAYED = "late"  # messages are late at a server that took moved clients
+    DEGRADED = "strained"  # most servers are: everything stops
 
 
 _BAD = {
     Signal.SLOW_RETURN: 0.7,
     Signal.REFUSED: 0.5,
     Signal.FAILED: 0.5,
-    Signal.LATE: 0.5,
-    Signal.STRAINED: 0.0,
+    Signal.DELAYED: 0.5,
+    Signal.DEGRADED: 0.0,
 }
 
 
 # The fleet has no room for what was moved: nothing more is, for a while.
-_STOPS = (Signal.REFUSED, Signal.FAILED, Signal.STRAINED)
+_STOPS = (Signal.REFUSED, Signal.FAILED, Signal.DEGRADED)
 
 
 @dataclass(frozen=True)
-class PaceFigures:
+class PaceSettings:
     """Rates in moves a second, times in ms."""
 
-    start: float = 1.0
-    least: float = 0.2
-    most: float = 10.0
+    start_rate: float = 1.0
+    min_rate: float = 0.2
+    max_rate: float = 10.0
     gain: float = 0.1  # for each good return
-    cool: float = 5_000.0  # no growth for so long after a bad signal; no move after one that stops
+    cooldown: float = 5_000.0  # no growth for so long after a bad signal; no move after one that stops
 
 
 class Pace:
     """One balancer's rate of moves, and when the next is due."""
 
-    def __init__(self, figures: PaceFigures, rng: random.Random, returns: int = 1) -> None:
+    def __init__(self, settings: PaceSettings, rng: random.Random, return_weight: int = 1) -> None:
         """Of so many `returns` one is seen here, and stands for all."""
-        self.figures = figures
-        self.returns = max(1, returns)
-        self.rate = figures.start
-        self.counts: Counter[Signal] = Counter()
+        self.settings = settings
+        self.return_weight = max(1, return_weight)
+        self.rate = settings.start_rate
+        self.signal_counts: Counter[Signal] = Counter()
         self._rng = rng
         self._next = 0.0
         self._cool_until = float("-inf")
         self._stopped_until = float("-inf")
 
-    def configure(self, figures: PaceFigures) -> None:
-        """Go on under other figures; the rate stays within them."""
-        self.figures = figures
-        self.rate = min(max(self.rate, figures.least), figures.most)
+    def configure(self, settings: PaceSettings) -> None:
+        """Go on under other settings; the rate stays within them."""
+        self.settings = settings
+        self.rate = min(max(self.rate, settings.min_rate), settings.max_rate)
 
-    def take(self, signal: Signal, now: float) -> bool:
+    def apply(self, signal: Signal, now: float) -> bool:
         """Hear a signal; tells whether it changed the rate downwards."""
-        self.counts[signal] += 1
+        self.signal_counts[signal] += 1
         if signal is Signal.RETURNED:
             if now >= self._cool_until:
-                self.rate = min(self.figures.most, self.rate + self.figures.gain * self.returns)
+                self.rate = min(self.settings.max_rate, self.rate + self.settings.gain * self.return_weight)
             return False
         # Several signs of one moment are one: what follows tells whether the new rate is borne.
         fresh = now >= self._cool_until
         if signal in _STOPS:
-            self._stopped_until = now + self.figures.cool
-        if signal is Signal.STRAINED:
-            fresh = self.rate > self.figures.least
-            self.rate = self.figures.least
+            self._stopped_until = now + self.settings.cooldown
+        if signal is Signal.DEGRADED:
+            fresh = self.rate > self.settings.min_rate
+            self.rate = self.settings.min_rate
         elif fresh:
-            self.rate = max(self.figures.least, self.rate * _BAD[signal])
-        self._cool_until = now + self.figures.cool
+            self.rate = max(self.settings.min_rate, self.rate * _BAD[signal])
+        self._cool_until = now + self.settings.cooldown
         return fresh
 
-    def due(self, now: float) -> bool:
-        """Whether a move may be made now; the caller says `made` when it was."""
+    def is_due(self, now: float) -> bool:
+        """Whether a move may be made now; the caller says `record_move` when it was."""
         return now >= self._next and now >= self._stopped_until
 
-    def made(self, now: float) -> None:
+    def record_move(self, now: float) -> None:
         """A move was made: draw when the next may be.
 
-        Guards against a burst after a time without any: no more than CATCH_UP is made up for.
+        Guards against a burst after a time without any: no more than MAX_CATCH_UP_MS is made up for.
         """
-        self._next = max(self._next, now - CATCH_UP) + self._rng.expovariate(self.rate) * 1_000.0
+        self._next = max(self._next, now - MAX_CATCH_UP_MS) + self._rng.expovariate(self.rate) * 1_000.0
 
-    def rest(self) -> None:
+    def reset_rate(self) -> None:
         """Balance was reached: the next time begins low again."""
-        self.rate = min(self.rate, self.figures.start)
+        self.rate = min(self.rate, self.settings.start_rate)
--- a/puffinford/rebalance/planner.py
+++ b/puffinford/rebalance/planner.py
@@ -13,27 +13,27 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from puffinford.rebalance.lives import Lives
-from puffinford.rebalance.pace import Pace, PaceFigures, Signal
+from puffinford.rebalance.lifetimes import Lifetimes
+from puffinford.rebalance.pace import Pace, PaceSettings, Signal
 
-REMEMBERED = 20_000  # clients whose moves are remembered, by key
-STRAINED = 0.25  # of the servers with own connections: with more than that nothing moves
-LEAST_LOAD = 8.0  # own load, in mean connections, under which there is nothing to balance
-GAIN_LEAST = (
+MAX_REMEMBERED_MOVES = 20_000  # clients whose moves are remembered, by key
+MAX_DEGRADED_FRACTION = 0.25  # of the servers with own connections: with more than that nothing moves
+MIN_LOAD = 8.0  # own load, in mean connections, under which there is nothing to balance
+MIN_GAIN_FRACTION = (
     0.25  # of a connection's load: by so much less full the fuller of two servers must be after a move
 )
-NOISE = 0.5  # standard deviations of chance that are no imbalance
-FLOOR = 0.02  # of its capacity: what a server is taken to be able to do at least
+NOISE_STANDARD_DEVIATIONS = 0.5  # standard deviations of chance that are no imbalance
+MIN_CAPACITY = 0.02  # of its capacity: what a server is taken to be able to do at least
 
 
-class Why(Enum):
+class SkipReason(Enum):
     """Why a connection is not moved, or nothing is."""
 
     OFF = "switched off"
     PAUSED = "paused by an operator"
     BALANCED = "in balance"
     SETTLING = "out of balance for too short a time"
-    STRAINED = "too many servers strained"
+    DEGRADED = "too many servers strained"
     PACE = "the next move is not due"
     FEW = "too few connections to judge"
     BUSY = "a line is unanswered"
@@ -47,25 +47,27 @@
 
 
 @dataclass(frozen=True)
-class Figures:
-    """The operators' figures: ratios of load by capacity to the mean, times in ms."""
+class PlannerSettings:
+    """The operators' settings: ratios of load by capacity to the mean, times in ms."""
 
     enabled: bool = True
-    start_at: float = 1.25  # the fullest server, or as far under the mean the emptiest: moving starts
-    stop_at: float = 1.1  # and stops
-    settle: float = 3_000.0  # out of balance for so long before it starts
-    rest: float = 60_000.0  # a client that was moved is left alone for so long
-    rest_back: float = 10_000.0  # one that came back, from a crash or another balancer's move, rests so long
-    young: float = 3_000.0  # and a connection that was just placed
-    hold: float = 2_500.0  # a place is kept for the return of its client
-    in_time: float = 1_000.0  # a moved client that takes longer to come up had a slow return
-    sample: int = 64  # connections of a server that are looked at in a round
-    ending: float = 5_000.0  # one that has less than this left is left alone
-    pace: PaceFigures = field(default_factory=PaceFigures)
+    start_ratio: float = 1.25  # the fullest server, or as far under the mean the emptiest: moving starts
+    stop_ratio: float = 1.1  # and stops
+    settle_time: float = 3_000.0  # out of balance for so long before it starts
+    move_cooldown: float = 60_000.0  # a client that was moved is left alone for so long
+    return_cooldown: float = (
+        10_000.0  # one that came back, from a crash or another balancer's move, rests so long
+    )
+    min_age: float = 3_000.0  # and a connection that was just placed
+    reservation_time: float = 2_500.0  # a place is kept for the return of its client
+    return_deadline: float = 1_000.0  # a moved client that takes longer to come up had a slow return
+    sample_size: int = 64  # connections of a server that are looked at in a round
+    min_remaining: float = 5_000.0  # one that has less than this left is left alone
+    pace: PaceSettings = field(default_factory=PaceSettings)
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class ServerLoad:
     """A server as the module sees it. Loads are own ones, in mean connections."""
 
     id: str
@@ -80,7 +82,7 @@
 class Candidate:
     """A standing connection."""
 
-    job: str
+    request_id: str
     key: int
     server: str
     cls: str
@@ -94,10 +96,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Planned:
+class PlannedMove:
     """One move."""
 
-    job: str
+    request_id: str
     key: int
     source: str
     target: str
@@ -106,82 +108,82 @@
 
 
 @dataclass
-class Moved:
+class RecentMove:
     """What is remembered of a client that was moved."""
 
-    at: float
+    moved_at: float
     sources: tuple[str, ...]  # where it was before; it is not sent there again
     target: str
-    waiting: bool = True  # it has not been seen since
+    awaiting_return: bool = True  # it has not been seen since
 
 
 Advise = Callable[[str], str | None]
 
 
 class Planner:
-    """One balancer's plan. `observe`, then `choose` where it says to."""
+    """One balancer's plan. `observe`, then `choose_move` where it says to."""
 
-    def __init__(self, figures: Figures, rng: random.Random, balancers: int = 1) -> None:
+    def __init__(self, settings: PlannerSettings, rng: random.Random, balancers: int = 1) -> None:
         """`balancers` share the clients: of those that were moved, one in so many is seen again here."""
-        self.figures = figures
-        self.pace = Pace(figures.pace, rng, balancers)
-        self.lives: dict[str, Lives] = {}
+        self.settings = settings
+        self.pace = Pace(settings.pace, rng, balancers)
+        self.lifetimes: dict[str, Lifetimes] = {}
         self.moving = False
         self.paused = False
-        self.ratio = 1.0  # how far the fullest or the emptiest server is off the mean, as a ratio over 1
-        self.why = Why.BALANCED
-        self.left_out: Counter[Why] = Counter()  # of the last round
+        self.imbalance = 1.0  # how far the fullest or the emptiest server is off the mean, as a ratio over 1
+        self.reason = SkipReason.BALANCED
+        self.skipped: Counter[SkipReason] = Counter()  # of the last round
         self.moves = 0
-        self.landed: Counter[str] = Counter()  # by server, of the clients that came back here
-        self.elsewhere = 0  # moved clients that were not seen here again
+        self.returns_by_server: Counter[str] = Counter()  # by server, of the clients that came back here
+        self.not_returned = 0  # moved clients that were not seen here again
         self._rng = rng
-        self._moved: OrderedDict[int, Moved] = OrderedDict()
+        self._moved: OrderedDict[int, RecentMove] = OrderedDict()
         self._out_since: float | None = None
-        self._places: dict[str, Place] = {}
+        self._places: dict[str, ServerLoad] = {}
         self._mean = 0.0
         self._chance = 0.0
         self._group: tuple[int, str] | None = None  # the group that is under way, and its source
         self._last_target: dict[str, float] = {}  # servers that took moved clients, and when
 
-    def configure(self, figures: Figures) -> None:
-        """Go on under other figures; what is remembered stays."""
-        self.figures = figures
-        self.pace.configure(figures.pace)
+    def configure(self, settings: PlannerSettings) -> None:
+        """Go on under other settings; what is remembered stays."""
+        self.settings = settings
+        self.pace.configure(settings.pace)
 
     # What is seen
 
-    def observe(self, now: float, places: Iterable[Place]) -> Why | None:
+    def observe(self, now: float, places: Iterable[ServerLoad]) -> SkipReason | None:
         """Take in the servers as they are; None where a move is due now, else why not."""
         self._places = {place.id: place for place in places}
-        self.left_out.clear()
-        self.why = self._judge(now) or Why.PACE
-        if self.why is not Why.PACE:
-            return self.why
-        return None if self.pace.due(now) else Why.PACE
+        self.skipped.clear()
+        self.reason = self._judge(now) or SkipReason.PACE
+        if self.reason is not SkipReason.PACE:
+            return self.reason
+        return None if self.pace.is_due(now) else SkipReason.PACE
 
-    def _judge(self, now: float) -> Why | None:
+    def _judge(self, now: float) -> SkipReason | None:
         able = [place for place in self._places.values() if place.capacity > 0.0]
         load = sum(place.load for place in able)
         capacity = sum(place.capacity for place in able)
         self._mean = load / capacity if capacity else 0.0
         self._chance = self._noise(load / max(1, len(able)))
-        self.ratio = self._imbalance(able)
+        self.imbalance = self._imbalance(able)
         known = [place for place in able if place.connection_count]
-        if known and sum(place.degraded for place in known) > max(1.0, STRAINED * len(known)):
-            self._signal(Signal.STRAINED, now)
+        if known and sum(place.degraded for place in known) > max(1.0, MAX_DEGRADED_FRACTION * len(known)):
+            self._signal(Signal.DEGRADED, now)
             self._out_since = None
-            return Why.STRAINED
-        if not self.figures.enabled:
+            return SkipReason.DEGRADED
+        if not self.settings.enabled:
             self.moving = False
-            return Why.OFF
+            return SkipReason.OFF
         if self.paused:
-            return Why.PAUSED
-        if load < LEAST_LOAD or len(able) < 2:
+            return SkipReason.PAUSED
+        if load < MIN_LOAD or len(able) < 2:
             self.moving = False
-            return Why.FEW
+            return SkipReason.FEW
         return self._in_band(now)
 
-    def _imbalance(self, able: list[Place]) -> float:
+    def _imbalance(self, able: list[ServerLoad]) -> float:
         """The fullest server over the mean, or as far as the emptiest that can be moved to lies under it.
 
         Guards the few that restart among many: with two of ten empty the fullest is only 1.25 times the mean.
@@ -198,22 +200,24 @@
         Guards against moves that serve nobody: of clients spread evenly a balancer sees a sample,
         and a sample of n is off by the root of n. A balancer that is alone sees all.
         """
-        return NOISE * math.sqrt(max(0.0, 1.0 - 1.0 / self.pace.returns) / max(each, 1.0))
+        return NOISE_STANDARD_DEVIATIONS * math.sqrt(
+            max(0.0, 1.0 - 1.0 / self.pace.return_weight) / max(each, 1.0)
+        )
 
-    def _in_band(self, now: float) -> Why | None:
+    def _in_band(self, now: float) -> SkipReason | None:
         """Hysteresis: it starts over `start_at` and goes on until under `stop_at`."""
         if self.moving:
-            if self.ratio > self.figures.stop_at + self._chance:
+            if self.imbalance > self.settings.stop_ratio + self._chance:
                 return None
             self._stop()
-            return Why.BALANCED
-        if self.ratio <= self.figures.start_at + self._chance:
+            return SkipReason.BALANCED
+        if self.imbalance <= self.settings.start_ratio + self._chance:
             self._out_since = None
-            return Why.BALANCED
+            return SkipReason.BALANCED
         if self._out_since is None:
             self._out_since = now
-        if now - self._out_since < self.figures.settle:
-            return Why.SETTLING
+        if now - self._out_since < self.settings.settle_time:
+            return SkipReason.SETTLING
         self.moving = True
         return None
 
@@ -221,14 +225,14 @@
         self.moving = False
         self._out_since = None
         self._group = None
-        self.pace.rest()
+        self.pace.reset_rate()
 
     @staticmethod
-    def _full(place: Place, more: float = 0.0) -> float:
+    def _full(place: ServerLoad, more: float = 0.0) -> float:
         """Load by capacity, with `more` on it."""
-        return (place.load + more) / max(place.capacity, FLOOR)
+        return (place.load + more) / max(place.capacity, MIN_CAPACITY)
 
-    def sources(self) -> list[Place]:
+    def sources(self) -> list[ServerLoad]:
         """The servers over the mean, fullest first, the one whose group is under way before all."""
         line = self._mean * (1.0 + self._chance / 2.0)
         over = [
@@ -241,53 +245,53 @@
             over.sort(key=lambda place: place.id != self._group[1])  # type: ignore[index]
         return over
 
-    def wanted(self) -> frozenset[str]:
+    def underloaded(self) -> frozenset[str]:
         """The servers under the band, while it moves: where clients that come back are best placed."""
-        if not self.moving or self.paused or not self.figures.enabled:
+        if not self.moving or self.paused or not self.settings.enabled:
             return frozenset()
-        line = self._mean * (2.0 - self.figures.stop_at)
+        line = self._mean * (2.0 - self.settings.stop_ratio)
         return frozenset(p.id for p in self._places.values() if p.usable and self._full(p) < line)
 
     # What is chosen
 
-    def choose(self, now: float, candidates: Sequence[Candidate], advise: Advise) -> Planned | None:
-        """The one to move of a source's sample; None where none is, with the reasons in `left_out`."""
+    def choose_move(self, now: float, candidates: Sequence[Candidate], advise: Advise) -> PlannedMove | None:
+        """The one to move of a source's sample; None where none is, with the reasons in `skipped`."""
         fit = []
-        for candidate in candidates[: self.figures.sample]:
+        for candidate in candidates[: self.settings.sample_size]:
             why = self._spare(now, candidate)
             if why is None:
                 fit.append(candidate)
             else:
-                self.left_out[why] += 1
+                self.skipped[why] += 1
         under_way = self._group[0] if self._group is not None else None
         # Its group first, for every server that holds any of it pays. Then those that nobody has moved yet:
         # where another balancer moved one from is not known here. Then the least price for the load freed.
         fit.sort(key=lambda c: (under_way is None or c.group != under_way, c.came_back, self._price(c)))
         for candidate in fit:
             planned = self._plan(candidate, advise)
-            if isinstance(planned, Planned):
+            if isinstance(planned, PlannedMove):
                 self._made(now, planned, candidate.load)
                 return planned
-            self.left_out[planned] += 1
+            self.skipped[planned] += 1
         if under_way is not None and not any(c.group == under_way for c in fit):
             self._group = None
         return None
 
-    def _spare(self, now: float, candidate: Candidate) -> Why | None:
-        """Why this client is to be left alone."""
+    def _spare(self, now: float, candidate: Candidate) -> SkipReason | None:
+        """SkipReason this client is to be left alone."""
         if not candidate.quiet:
-            return Why.BUSY
-        if candidate.age < self.figures.young:
-            return Why.YOUNG
+            return SkipReason.BUSY
+        if candidate.age < self.settings.min_age:
+            return SkipReason.YOUNG
         moved = self._moved.get(candidate.key)
-        if candidate.came_back and candidate.age < self.figures.rest_back:
-            return Why.RESTING
-        if moved is not None and now - moved.at < self.figures.rest:
-            return Why.RESTING
-        lives = self.lives.get(candidate.cls)
-        left = lives.remaining(candidate.age) if lives is not None else None
-        if left is not None and left < self.figures.ending:
-            return Why.ENDING
+        if candidate.came_back and candidate.age < self.settings.return_cooldown:
+            return SkipReason.RESTING
+        if moved is not None and now - moved.moved_at < self.settings.move_cooldown:
+            return SkipReason.RESTING
+        lives = self.lifetimes.get(candidate.cls)
+        left = lives.mean_remaining(candidate.age) if lives is not None else None
+        if left is not None and left < self.settings.min_remaining:
+            return SkipReason.ENDING
         return None
 
     def _price(self, candidate: Candidate) -> float:
@@ -295,118 +299,124 @@
 
         A connection with long to live pays for its move over that time; one with little left hardly does.
         """
-        lives = self.lives.get(candidate.cls)
-        left = lives.remaining(candidate.age) if lives is not None else None
-        share = 1.0 if left is None else self.figures.ending / max(left, self.figures.ending)
+        lives = self.lifetimes.get(candidate.cls)
+        left = lives.mean_remaining(candidate.age) if lives is not None else None
+        share = 1.0 if left is None else self.settings.min_remaining / max(left, self.settings.min_remaining)
         return candidate.worth * share / max(candidate.load, 0.05)
 
-    def _plan(self, candidate: Candidate, advise: Advise) -> Planned | Why:
+    def _plan(self, candidate: Candidate, advise: Advise) -> PlannedMove | SkipReason:
         source = self._places.get(candidate.server)
-        target_id = advise(candidate.job)
+        target_id = advise(candidate.request_id)
         target = self._places.get(target_id) if target_id is not None else None
         if source is None or target is None or target.id == source.id:
-            return Why.BEST
+            return SkipReason.BEST
         if not target.usable or target.capacity <= 0.0:
-            return Why.BEST
+            return SkipReason.BEST
         moved = self._moved.get(candidate.key)
         if moved is not None and target.id in moved.sources:
-            return Why.BACK
+            return SkipReason.BACK
         # A group goes whole, for each server that holds any of it pays: one that does not fit is not begun.
         whole = candidate.load * max(1, candidate.group_size)
         if candidate.group_size > 1 and self._full(target, whole) >= self._full(source):
-            return Why.GROUP
+            return SkipReason.GROUP
         # The fuller of the two has to be less full after it, by a part of what is moved, or it may swing.
         gain = self._full(source) - self._full(target, candidate.load)
-        least = GAIN_LEAST * candidate.load / max(source.capacity, FLOOR)
+        least = MIN_GAIN_FRACTION * candidate.load / max(source.capacity, MIN_CAPACITY)
         if source.capacity > 0.0 and gain < least:
-            return Why.NO_GAIN
-        return Planned(candidate.job, candidate.key, source.id, target.id, candidate.group, gain)
+            return SkipReason.NO_GAIN
+        return PlannedMove(candidate.request_id, candidate.key, source.id, target.id, candidate.group, gain)
 
     def _shift(self, ident: str, load: float) -> None:
         """What a move changes until the next look."""
         place = self._places[ident]
         self._places[ident] = replace(place, load=max(0.0, place.load + load))
 
-    def _made(self, now: float, planned: Planned, load: float) -> None:
+    def _made(self, now: float, planned: PlannedMove, load: float) -> None:
         earlier = self._moved.pop(planned.key, None)
         sources = (*(earlier.sources if earlier is not None else ()), planned.source)[-4:]
-        self._moved[planned.key] = Moved(now, sources, planned.target)
-        while len(self._moved) > REMEMBERED:
+        self._moved[planned.key] = RecentMove(now, sources, planned.target)
+        while len(self._moved) > MAX_REMEMBERED_MOVES:
             self._moved.popitem(last=False)
         self._group = (planned.group, planned.source) if planned.group is not None else None
         self._last_target[planned.target] = now
         self._shift(planned.source, -load)
         self._shift(planned.target, load)
         self.moves += 1
-        self.pace.made(now)
+        self.pace.record_move(now)
 
     # What is told
 
     def _signal(self, signal: Signal, now: float) -> bool:
-        return self.pace.take(signal, now)
+        return self.pace.apply(signal, now)
 
-    def returned(self, now: float, key: int, server: str, set_up: float) -> Signal | None:
+    def on_established(self, now: float, key: int, server: str, set_up: float) -> Signal | None:
         """A client is up here that may be one that was moved; the signal that it gave.
 
         `set_up` is how long it took from its return to UP, in ms.
         """
         moved = self._moved.get(key)
-        if moved is None or not moved.waiting:
+        if moved is None or not moved.awaiting_return:
             return None
-        moved.waiting = False
-        self.landed[server] += 1
-        signal = Signal.RETURNED if set_up <= self.figures.in_time else Signal.SLOW_RETURN
+        moved.awaiting_return = False
+        self.returns_by_server[server] += 1
+        signal = Signal.RETURNED if set_up <= self.settings.return_deadline else Signal.SLOW_RETURN
         self._signal(signal, now)
         return signal
 
-    def turned_away(self, now: float, key: int, *, failed: bool = False) -> Signal | None:
+    def on_refused(self, now: float, key: int, *, failed: bool = False) -> Signal | None:
         """A client was refused here; the signal, where it is one that was moved."""
         moved = self._moved.get(key)
-        if moved is None or not moved.waiting or now - moved.at > 2.0 * self.figures.hold:
+        if (
+            moved is None
+            or not moved.awaiting_return
+            or now - moved.moved_at > 2.0 * self.settings.reservation_time
+        ):
             return None
         signal = Signal.FAILED if failed else Signal.REFUSED
         self._signal(signal, now)
         return signal
 
-    def late(self, now: float, server: str) -> Signal | None:
+    def on_delay(self, now: float, server: str) -> Signal | None:
         """Messages are late at a server; a signal where it took moved clients of late."""
         at = self._last_target.get(server)
-        if at is None or now - at > 2.0 * self.pace.figures.cool:
+        if at is None or now - at > 2.0 * self.pace.settings.cooldown:
             return None
-        self._signal(Signal.LATE, now)
-        return Signal.LATE
+        self._signal(Signal.DELAYED, now)
+        return Signal.DELAYED
 
-    def lost_sight(self, now: float) -> int:
+    def expire_returns(self, now: float) -> int:
         """Count the clients that went to other balancers, or away: not seen here for twice the hold."""
         gone = 0
         for moved in reversed(self._moved.values()):
-            if now - moved.at > 6.0 * self.figures.hold:
+            if now - moved.moved_at > 6.0 * self.settings.reservation_time:
                 break  # those before it were looked at in earlier rounds
-            if moved.waiting and now - moved.at > 2.0 * self.figures.hold:
-                moved.waiting = False
+            if moved.awaiting_return and now - moved.moved_at > 2.0 * self.settings.reservation_time:
+                moved.awaiting_return = False
                 gone += 1
-        self.elsewhere += gone
+        self.not_returned += gone
         return gone
 
-    def ended(self, cls: str, age: float, *, cut: bool) -> None:
+    def on_closed(self, cls: str, age: float, *, cut: bool) -> None:
         """A connection ended at that age."""
-        self.lives.setdefault(cls, Lives()).end(age, cut=cut)
+        self.lifetimes.setdefault(cls, Lifetimes()).record(age, cut=cut)
 
     # What is kept over a restart
 
-    def rests(self, now: float) -> list[tuple[int, float, tuple[str, ...], str]]:
+    def recent_moves(self, now: float) -> list[tuple[int, float, tuple[str, ...], str]]:
         """The clients that still rest: key, ms since the move, where from, where to."""
         return [
-            (key, now - moved.at, moved.sources, moved.target)
+            (key, now - moved.moved_at, moved.sources, moved.target)
             for key, moved in self._moved.items()
-            if now - moved.at < self.figures.rest
+            if now - moved.moved_at < self.settings.move_cooldown
         ]
 
     def restore(
         self, now: float, rate: float, rests: Iterable[tuple[int, float, tuple[str, ...], str]]
     ) -> None:
         """Go on from what another process kept. It never moves faster than that one did."""
-        self.pace.rate = min(max(rate, self.figures.pace.least), self.figures.pace.start)
+        self.pace.rate = min(max(rate, self.settings.pace.min_rate), self.settings.pace.start_rate)
         for key, since, sources, target in rests:
-            if key not in self._moved and 0.0 <= since < self.figures.rest:
-                self._moved[key] = Moved(now - since, sources, target, waiting=since < self.figures.hold)
+            if key not in self._moved and 0.0 <= since < self.settings.move_cooldown:
+                self._moved[key] = RecentMove(
+                    now - since, sources, target, awaiting_return=since < self.settings.reservation_time
+                )
--- a/puffinford/relay/entries.py
+++ b/puffinford/relay/entries.py
@@ -11,7 +11,7 @@
 from puffinford.interface import Server, ServerState
 from puffinford.server_list.entries import STATES_BY_NAME
 from puffinford.server_list.watch import CallFailed
-from puffinford.state.recovery import ListGuard
+from puffinford.state.recovery import ListValidator
 
 LEFT = "left"
 
@@ -89,10 +89,10 @@
 
 
 class RawGuard:
-    """`ListGuard` for entries as they came: a relay believes what a balancer would."""
+    """`ListValidator` for entries as they came: a relay believes what a balancer would."""
 
     def __init__(self) -> None:
-        self._guard = ListGuard()
+        self._guard = ListValidator()
 
     @property
     def version(self) -> int | None:
@@ -102,7 +102,7 @@
     def judge(self, answer: RawList, held: Callable[[str], RawEntry | None]) -> Judged:
         """What to take of an answer; `held` gives the entry in force of an id."""
         machines = [_machine(entry) for entry in answer.entries]
-        taken = self._guard.judge(ServerEntries(answer.version, answer.full, machines))
+        taken = self._guard.validate(ServerEntries(answer.version, answer.full, machines))
         if taken.entries is None:
             return Judged(None, taken.version, taken.note)
         chosen = _as_came(taken.entries.entries, answer.entries, held)
--- a/puffinford/scale/hollow.py
+++ b/puffinford/scale/hollow.py
@@ -1,6 +1,6 @@
 """One hollow balancer: the program's own list client, staleness, backoff and decisions, without fronts.
 
-`ListClient` (with `DiscoveryWatch` and `ListGuard`) and `Exchange` (with `Balancer`) are the classes that
+`ListClient` (with `DiscoveryWatch` and `ListValidator`) and `Exchange` (with `Balancer`) are the classes that
 `serve` runs. Left out are fronts, the second address, the store, rebalancing and versions: a hollow balancer
 that is started again knows nothing and asks for the whole list.
 """
@@ -25,7 +25,7 @@
 from puffinford.server_list.endpoints import rendezvous_order
 from puffinford.server_list.entries import parse_address
 from puffinford.state import recovery
-from puffinford.state.keeper import weights
+from puffinford.state.keeper import trust_settings
 from puffinford.state.list_client import ListClient
 
 Recorded = Callable[[int, int], None]  # balancer and version, at the moment of the call
@@ -105,7 +105,7 @@
         self._exchange = Exchange(settings, seed, clock, sides)
         placed = totals.placed.setdefault(me, Counter())
         self._exchange.observer = PlacementCounter(placed)
-        start = recovery.merge(None, None, clock.now(), 0.0, weights(operators.state), 0.0)
+        start = recovery.build_start_state(None, None, clock.now(), 0.0, trust_settings(operators.state), 0.0)
         self._recorder = ListRecorder(self._exchange, me, record, spec.skip)
         self._list = ListClient(self._recorder, start, clock, lambda machines: None)
         discovery = parse_address(spec.discovery[me - spec.first])
--- a/puffinford/serve.py
+++ b/puffinford/serve.py
@@ -36,9 +36,9 @@
 from puffinford.management.cordons import Cordons
 from puffinford.management.http import HttpCallHandler
 from puffinford.management.versions import VersionRegistry
-from puffinford.rebalance.service import Rebalancer, figures
+from puffinford.rebalance.service import Rebalancer, planner_settings
 from puffinford.server_list.endpoints import rendezvous_order
-from puffinford.state.keeper import Keeper, store_file
+from puffinford.state.keeper import StateKeeper, store_file
 from puffinford.state.list_client import ListClient
 
 log = logging.getLogger(__name__)
@@ -72,20 +72,20 @@
         place = store_file(config.operators.state, config.state, config.name)
         exchange = self._exchange
         self._rebalancer = Rebalancer(
-            figures(config.operators.rebalance),
+            planner_settings(config.operators.rebalance),
             config.settings,
             exchange,
             clock,
             random.Random(config.seed ^ 0x4EBA),
         )
-        self._keeper = Keeper(
+        self._keeper = StateKeeper(
             config.operators.state,
             place,
             clock,
             exchange.health,
             exchange.learn,
-            self._rebalancer.kept,
-            self._rebalancer.go_on,
+            self._rebalancer.pace_record,
+            self._rebalancer.restore_pace,
             frozenset(cls.name for cls in config.settings.classes),
             starts,
         )
@@ -107,7 +107,7 @@
         callers = ConnectionTracker(clock, DescriptorBudget(MAX_MGMT_DESCRIPTORS + 1, 0), idle_divisor=1)
         path = state_path(config.state, config.name)
         self._cordons = Cordons(path, self._exchange.cordon)
-        extras = {"rebalance": self._rebalancer.answer}
+        extras = {"rebalance": self._rebalancer.handle_call}
         calls = HttpCallHandler(
             AdminApi(self._exchange, self._cordons, self._lacking, extras).answer, callers
         )
@@ -202,7 +202,7 @@
         self._budget.close_at = told + plan.close_at
         self._rebalancer.planner.paused = True  # everybody is moved now
         if has_ready_successor:
-            self._keeper.let_go()
+            self._keeper.release_store()
         settle = max(0.0, told + plan.move_from - self._clock.now())
         await self._exchange.drain(settle, told + plan.answer_at - self._clock.now() - settle)
         await self._end_connections(told + plan.last_at)
@@ -233,7 +233,7 @@
         while True:
             self._versions.refresh()
             if self._versions.has_successor:
-                self._keeper.hand_over()
+                self._keeper.publish_health()
             self._cordons.refresh()
             self._lacking()
             self._succeeded()
@@ -270,7 +270,7 @@
         ready = not (lack or self._draining)
         if ready and not self._ready:
             # As of the moment of the yes: until then the old version is the one that learns.
-            self._keeper.take_over()
+            self._keeper.learn_from_writer()
         self._ready = ready
         self._versions.publish_ready(ready)
         return lack
@@ -307,7 +307,7 @@
             log.warning("discovery settings", extra={"in_force": "at the next start"})
         self._rebalancer.take_settings(config.settings)
         if config.operators.rebalance != old.operators.rebalance:
-            self._rebalancer.planner.configure(figures(config.operators.rebalance))
+            self._rebalancer.planner.configure(planner_settings(config.operators.rebalance))
             if config.operators.rebalance.enabled:
                 self._start_rebalancing()
         self._budget.limit = raise_descriptor_limit(config.limits.sockets)
--- a/puffinford/state/keeper.py
+++ b/puffinford/state/keeper.py
@@ -34,16 +34,16 @@
     health_key,
     server_key,
 )
-from puffinford.state.store import Renewal, Store, StoreFailed, StoreFull, open_store
+from puffinford.state.store import Rebuild, Store, StoreError, StoreFullError, open_store
 from puffinford.state.timeline import Timeline
 
 log = logging.getLogger(__name__)
 
-COMMIT_MOST = 1.0  # ms that a commit may hold the loop; a slower one sends the next to a thread
-HAND_OVER_EVERY = 100.0  # what was learned is written so often while a later version is starting
-CONFIRM_EVERY = 5_000.0  # the list's time is written no more often while nothing changes
-TELL_AGAIN = 60_000.0  # a store that stays full or broken is a line in the log this often
-FORGET_EVERY = 60_000.0  # between looks for servers that left long ago
+MAX_LOOP_COMMIT_MS = 1.0  # ms that a commit may hold the loop; a slower one sends the next to a thread
+PUBLISH_INTERVAL_MS = 100.0  # what was learned is written so often while a later version is starting
+CONFIRM_INTERVAL_MS = 5_000.0  # the list's time is written no more often while nothing changes
+ERROR_LOG_INTERVAL_MS = 60_000.0  # a store that stays full or broken is a line in the log this often
+FORGET_INTERVAL_MS = 60_000.0  # between looks for servers that left long ago
 
 
 def store_file(settings: StateSettings, shared: str | None, balancer: str) -> tuple[Path, bool] | None:
@@ -58,14 +58,14 @@
     return (path.with_name(path.name + ".state"), durable) if path is not None else None
 
 
-def weights(settings: StateSettings) -> trust.Weights:
+def trust_settings(settings: StateSettings) -> trust.TrustSettings:
     """The operators' figures for trust."""
-    return trust.Weights(
+    return trust.TrustSettings(
         settings.fresh, settings.distrust, settings.patience, settings.patience_old, settings.learned_for
     )
 
 
-class Keeper:
+class StateKeeper:
     """`learned` tells what the module knows of the servers, `learn` hands it what others knew."""
 
     def __init__(
@@ -115,14 +115,17 @@
         self._took_over = False
 
     def _open(self, path: Path, durable: bool) -> None:
-        renewal: Renewal | None = None
+        rebuild: Rebuild | None = None
         try:
-            self._store, renewal = open_store(path, self._settings.size, durable=durable)
-        except StoreFailed as exc:
+            self._store, rebuild = open_store(path, self._settings.size, durable=durable)
+        except StoreError as exc:
             log.error("state unusable", extra={"file": str(path), "error": str(exc)})
-        if renewal is not None:
-            told = {"file": str(path), "verdict": renewal.verdict.name.lower(), "why": renewal.why}
-            log.warning("state renewed", extra={**told, "aside": renewal.aside} if renewal.aside else told)
+        if rebuild is not None:
+            told = {"file": str(path), "verdict": rebuild.verdict.name.lower(), "why": rebuild.reason}
+            log.warning(
+                "state renewed",
+                extra={**told, "aside": rebuild.quarantined_path} if rebuild.quarantined_path else told,
+            )
 
     @property
     def _offset(self) -> float:
@@ -131,20 +134,20 @@
 
     # The start
 
-    def start(self, known: ServerEntries | None) -> recovery.Start:
+    def start(self, known: ServerEntries | None) -> recovery.StartState:
         """What to go by until discovery speaks."""
         stored: Stored | None = None
         if self._store is not None:
             try:
                 stored = self._store.read()
-            except StoreFailed as exc:
+            except StoreError as exc:
                 log.error("state unusable", extra={"file": str(self._store.path), "error": str(exc)})
-        if stored is not None and stored.foreign(self._classes):
+        if stored is not None and stored.belongs_to_other_deployment(self._classes):
             self._refuse(stored)
             stored = None
         if stored is not None:
-            resumed = self._timeline.go_on(stored)
-            for text in stored.rotten[:10]:
+            resumed = self._timeline.resume(stored)
+            for text in stored.rejected[:10]:
                 log.warning("state record rejected", extra={"error": text})
             self._take_in(stored)
             if resumed:
@@ -154,7 +157,9 @@
         if self._store is not None and (stored is None or stored.owner is None):
             self._own()
         told = self._settings
-        begun = recovery.merge(stored, known, self._clock.now(), self._offset, weights(told), told.known_age)
+        begun = recovery.build_start_state(
+            stored, known, self._clock.now(), self._offset, trust_settings(told), told.known_age
+        )
         restored = begun.restored
         if begun.source == "nothing":
             return begun
@@ -193,10 +198,12 @@
 
     def _take_in(self, stored: Stored) -> None:
         """What is in the store already needs no writing."""
-        if stored.entries >= 0:
+        if stored.entry_count >= 0:
             # Guards the times written from now on against those of another clock: that is written first.
-            self._list = ListRecord(stored.version, stored.entries, stored.boot, stored.ahead)
-            self._confirmed = self._written_at = stored.confirmed
+            self._list = ListRecord(
+                stored.version, stored.entry_count, stored.boot_id, stored.monotonic_offset
+            )
+            self._confirmed = self._written_at = stored.confirmed_at
         for ident, (record, confirmed) in stored.servers.items():
             self._servers[ident] = record
             if record.state == "left":
@@ -212,8 +219,8 @@
         machines = known.entries if known is not None else []
         told = [self._starts.announced_time(entry.server.id, entry.server.started) for entry in machines]
         for ident, record in self._servers.items():
-            if record.told and record.started:
-                self._starts.restore(ident, record.told, record.started - self._offset)
+            if record.announced_started and record.started:
+                self._starts.restore(ident, record.announced_started, record.started - self._offset)
         if known is None:
             return None
         mapped = [
@@ -223,7 +230,7 @@
         ]
         return ServerEntries(known.version, known.full, mapped)
 
-    def _note_start(self, begun: recovery.Start) -> None:
+    def _note_start(self, begun: recovery.StartState) -> None:
         """Keep what the start goes by.
 
         Guards the next start against half a list: discovery may answer this one with changes alone, and the
@@ -249,19 +256,19 @@
             self._confirmed = confirmed
             self._due[LIST_KEY] = encode(LIST_KEY, self._list, confirmed)
 
-    def take_over(self) -> None:
+    def learn_from_writer(self) -> None:
         """Learn what the process that writes, the old version, has learned by now."""
-        if self._store is None or self._store.writes or self._foreign:
+        if self._store is None or self._store.is_writer or self._foreign:
             return
         try:
             stored = self._store.read_health()
-        except StoreFailed as exc:
+        except StoreError as exc:
             return self._tell_once(exc)
-        now, offset, figures = self._clock.now(), self._offset, weights(self._settings)
+        now, offset, figures = self._clock.now(), self._offset, trust_settings(self._settings)
         found = [
             weighed
             for record, confirmed in stored.health.values()
-            if (weighed := trust.weigh(recovery.to_health(record, confirmed, offset), now, figures))
+            if (weighed := trust.discard_expired(recovery.to_health(record, confirmed, offset), now, figures))
         ]
         if found:
             self._learn(found)
@@ -269,21 +276,21 @@
             self._took_over = True
             log.info("took over", extra={"learned": ",".join(health.server for health in found) or "nothing"})
 
-    def hand_over(self) -> None:
+    def publish_health(self) -> None:
         """A later version is starting: write what was learned soon, for it goes by that from its yes on."""
-        if self._store is None or not self._store.writes:
+        if self._store is None or not self._store.is_writer:
             return
-        if self._clock.now() - self._gathered_at >= HAND_OVER_EVERY:
+        if self._clock.now() - self._gathered_at >= PUBLISH_INTERVAL_MS:
             self._gather_health()
             self._urgent.set()
 
-    def let_go(self) -> None:
+    def release_store(self) -> None:
         """Leave the store to the next version. What has changed is written first."""
-        if self._store is not None and self._store.writes:
+        if self._store is not None and self._store.is_writer:
             self._gather_health()
             self._gather_pace(last=True)
             self._commit_now()
-            self._store.let_go()
+            self._store.release_write_lock()
 
     # What changes
 
@@ -304,7 +311,7 @@
                     urgent |= self._note_left(ident, record, machines.version, now)
         listed = sum(record.state != "left" for record in self._servers.values())
         whole = self._list_record(machines.version, listed)
-        if whole != self._list or now - self._written_at >= CONFIRM_EVERY:
+        if whole != self._list or now - self._written_at >= CONFIRM_INTERVAL_MS:
             self._list = whole
             self._written_at = now
             self._due[LIST_KEY] = encode(LIST_KEY, whole, now)
@@ -315,12 +322,12 @@
     def _record(self, entry: ServerEntry, version: int) -> ServerRecord:
         """A machine as it is kept."""
         server = entry.server
-        return recovery.to_record(
+        return recovery.to_server_record(
             entry, version, self._offset, self._starts.announced_time(server.id, server.started)
         )
 
     def _list_record(self, version: int, entries: int) -> ListRecord:
-        return ListRecord(version, entries, self._timeline.boot, self._timeline.ahead)
+        return ListRecord(version, entries, self._timeline.boot_id, self._timeline.monotonic_offset)
 
     def _note(self, entry: ServerEntry, version: int, now: float) -> bool:
         """Take in an entry; tells whether it is bad news."""
@@ -363,7 +370,7 @@
             if (
                 held is None
                 or not _alike(held, health)
-                or health.observed_at - held.observed_at > CONFIRM_EVERY
+                or health.observed_at - held.observed_at > CONFIRM_INTERVAL_MS
             ):
                 self._health[ident] = health
                 key = health_key(ident)
@@ -375,7 +382,7 @@
     def _gather_pace(self, *, last: bool = False) -> None:
         """How far rebalancing has come, now and then and at the end."""
         now = self._clock.now()
-        if last or now - self._pace_at >= CONFIRM_EVERY:
+        if last or now - self._pace_at >= CONFIRM_INTERVAL_MS:
             self._pace_at = now
             record = self._pace(self._offset)
             if record is not None:
@@ -386,7 +393,7 @@
         now = self._timeline.now()
         if now < self._forget_at:
             return
-        self._forget_at = now + FORGET_EVERY
+        self._forget_at = now + FORGET_INTERVAL_MS
         for ident, at in list(self._left.items()):
             if now - at > self._settings.forget_after:
                 self._drop_left(ident)
@@ -407,7 +414,7 @@
                 with self._clock.limit(self._settings.write_every):
                     await self._urgent.wait()
                 self._urgent = anyio.Event()
-                if self._claim(self._store):
+                if self._become_writer(self._store):
                     if self._clock.now() - self._gathered_at >= self._settings.write_every:
                         # Bad news of a list hurries; what was learned keeps its pace.
                         self._gather_health()
@@ -415,25 +422,25 @@
                         self._forget()
                     await self._commit()
                 elif self._took_over:
-                    self.take_over()
+                    self.learn_from_writer()
         finally:
             self._commit_now()
             self._store.close()
             self._store = None
 
-    def _claim(self, store: Store) -> bool:
+    def _become_writer(self, store: Store) -> bool:
         """Whether this process writes; when it has just come to, the store is made to say what it holds."""
-        if store.writes:
+        if store.is_writer:
             return True
         try:
-            if not store.claim():
+            if not store.acquire_write_lock():
                 return False
             stored = store.read()
-        except StoreFailed as exc:
-            store.let_go()  # what it holds was not seen: it is claimed anew
+        except StoreError as exc:
+            store.release_write_lock()  # what it holds was not seen: it is claimed anew
             self._tell_once(exc)
             return False
-        if stored.foreign(self._classes):
+        if stored.belongs_to_other_deployment(self._classes):
             self._refuse(stored)
             self._own()
             stored = Stored()
@@ -469,8 +476,8 @@
                 took = await to_thread.run_sync(store.write, due)
             else:
                 took = store.write(due)
-                self._slow_commits = took > COMMIT_MOST
-        except StoreFailed as exc:
+                self._slow_commits = took > MAX_LOOP_COMMIT_MS
+        except StoreError as exc:
             self._failed(due, exc)
         except BaseException:
             # Guards what was to be written against the end of the program before the thread had begun.
@@ -479,24 +486,24 @@
 
     def _commit_now(self) -> None:
         due, self._due = self._due, {}
-        if self._store is None or not due or not self._store.writes:
+        if self._store is None or not due or not self._store.is_writer:
             return
         try:
             self._store.write(due)
-        except StoreFailed as exc:
+        except StoreError as exc:
             self._failed(due, exc)
 
-    def _failed(self, due: dict[bytes, bytes | None], exc: StoreFailed) -> None:
+    def _failed(self, due: dict[bytes, bytes | None], exc: StoreError) -> None:
         """Nothing was written: it is due again, less the least needed where there is no room."""
         self._due = {**due, **self._due}
-        if isinstance(exc, StoreFull):
+        if isinstance(exc, StoreFullError):
             for ident in sorted(self._left, key=self._left.__getitem__)[: 1 + len(self._left) // 2]:
                 self._drop_left(ident)
         self._tell_once(exc)
 
-    def _tell_once(self, exc: StoreFailed) -> None:
+    def _tell_once(self, exc: StoreError) -> None:
         now = self._clock.now()
-        if now - self._told_at >= TELL_AGAIN:
+        if now - self._told_at >= ERROR_LOG_INTERVAL_MS:
             self._told_at = now
             log.error("state not kept", extra={"error": str(exc)})
 
--- a/puffinford/state/list_client.py
+++ b/puffinford/state/list_client.py
@@ -16,7 +16,7 @@
 from puffinford.core.values import RestoredState, ServerEntries
 from puffinford.server_list.discovery import DiscoveryWatch
 from puffinford.server_list.inventory import InventoryFile
-from puffinford.state.recovery import ListGuard, Start
+from puffinford.state.recovery import ListValidator, StartState
 
 log = logging.getLogger(__name__)
 
@@ -24,7 +24,7 @@
 _WATCH_SEED = 0xD15C  # keeps the draws of the watch apart from those of the decision module
 
 
-class ListTaker(Protocol):
+class ListConsumer(Protocol):
     """What goes by the lists: the exchange."""
 
     def take_list(self, machines: ServerEntries | None) -> None:
@@ -39,8 +39,8 @@
 
     def __init__(
         self,
-        exchange: ListTaker,
-        start: Start,
+        exchange: ListConsumer,
+        start: StartState,
         clock: Clock,
         note: Callable[[ServerEntries], None],
         starts: StartTimes | None = None,
@@ -56,7 +56,7 @@
         self._version = start.version
         self._clock = clock
         self._note = note
-        self._guard = ListGuard(start.version, start.restored.entries.entries)
+        self._validator = ListValidator(start.version, start.restored.entries.entries)
 
     def watch(
         self,
@@ -84,17 +84,17 @@
         """Discovery answers there from now on; `changed` where that is another address than before."""
         if isinstance(self.source, DiscoveryWatch):
             if changed and not self.source.uses_relays:
-                self._guard.moved()
+                self._validator.moved()
             self.source.change_address(discovery)
 
     def _take(self, machines: ServerEntries | None) -> int | None:
         """An answer of the list's source, or None for none; the version that the next call goes on from."""
         if machines is None:
             self._exchange.take_list(None)
-            return self._guard.version
+            return self._validator.version
         if isinstance(self.source, InventoryFile):
-            self._guard.moved()  # the file counts anew in each process, and is the operators' word
-        taken = self._guard.judge(machines)
+            self._validator.moved()  # the file counts anew in each process, and is the operators' word
+        taken = self._validator.validate(machines)
         if taken.note:
             log.warning("discovery suspect", extra={"why": taken.note})
         if taken.entries is not None:
--- a/puffinford/state/records.py
+++ b/puffinford/state/records.py
@@ -20,7 +20,7 @@
 OWNER_KEY = b"owner"
 SERVER_PREFIX = b"s/"
 HEALTH_PREFIX = b"h/"
-KEY_MOST = 500  # bytes; LMDB takes 511
+MAX_KEY_BYTES = 500  # bytes; LMDB takes 511
 _HEAD = struct.Struct("<Hd")  # schema, confirmed
 _SUM = struct.Struct("<Q")
 
@@ -29,11 +29,11 @@
 Time = Annotated[float, msgspec.Meta(ge=0)]
 
 
-class BadRecord(Exception):
+class InvalidRecord(Exception):
     """A record that cannot be used; the text says why."""
 
 
-class NewerSchema(BadRecord):
+class NewerSchema(InvalidRecord):
     """A record that a later release has written."""
 
     def __init__(self, schema: int) -> None:
@@ -45,9 +45,9 @@
     """The machine list as a whole, and by which clock all times of the store are."""
 
     version: int
-    entries: int  # how many servers it names: what says that one was lost
-    boot: Text = ""  # of the machine, in which ...
-    ahead: float = 0.0  # ... the store's times are so many ms ahead of its monotonic clock
+    entry_count: int  # how many servers it names: what says that one was lost
+    boot_id: Text = ""  # of the machine, in which ...
+    monotonic_offset: float = 0.0  # ... the store's times are so many ms ahead of its monotonic clock
 
 
 class ServerRecord(msgspec.Struct, frozen=True, array_like=True):
@@ -64,7 +64,9 @@
     cell: int = 0
     weight: Time = 1.0
     started: Time = 0.0
-    told: Time = 0.0  # the start as discovery told it, by whatever clock; 0 where that is not known
+    announced_started: Time = (
+        0.0  # the start as discovery told it, by whatever clock; 0 where that is not known
+    )
 
 
 class HealthRecord(msgspec.Struct, frozen=True, array_like=True):
@@ -89,7 +91,7 @@
     """
 
     rate: Time
-    rests: list[tuple[int, Time, tuple[Text, ...], Text]]
+    recent_moves: list[tuple[int, Time, tuple[Text, ...], Text]]
 
 
 class OwnerRecord(msgspec.Struct, frozen=True, array_like=True):
@@ -113,30 +115,30 @@
     """Everything sound that a store holds. `confirmed` is Unix ms; 0 without a list."""
 
     version: int = 0
-    confirmed: float = 0.0
-    entries: int = -1  # how many servers the list named when it was written; -1 without a list
+    confirmed_at: float = 0.0
+    entry_count: int = -1  # how many servers the list named when it was written; -1 without a list
     servers: dict[str, tuple[ServerRecord, float]] = field(default_factory=dict)
     health: dict[str, tuple[HealthRecord, float]] = field(default_factory=dict)
     pace: PaceRecord | None = None
     owner: OwnerRecord | None = None  # None also in a store that an earlier release wrote
-    rotten: list[str] = field(default_factory=list)  # KEY: what is wrong
-    newer: int = 0  # the highest schema above ours that was met
-    boot: str = ""  # see ListRecord
-    ahead: float = 0.0
+    rejected: list[str] = field(default_factory=list)  # KEY: what is wrong
+    newer_schema: int = 0  # the highest schema above ours that was met
+    boot_id: str = ""  # see ListRecord
+    monotonic_offset: float = 0.0
 
-    def foreign(self, classes: frozenset[str]) -> bool:
+    def belongs_to_other_deployment(self, classes: frozenset[str]) -> bool:
         """Whether a deployment wrote it that has no class in common with these."""
         return self.owner is not None and bool(classes) and classes.isdisjoint(self.owner.classes)
 
     @property
-    def listed(self) -> int:
+    def listed_count(self) -> int:
         """How many servers the list names; those that left are kept beside it."""
         return sum(record.state != "left" for record, _ in self.servers.values())
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether no entry of the list is lost."""
-        return self.listed == self.entries
+        return self.listed_count == self.entry_count
 
 
 def server_key(ident: str) -> bytes:
@@ -151,7 +153,7 @@
 
 def _key(prefix: bytes, ident: str) -> bytes:
     raw = ident.encode("utf-8", "surrogatepass")
-    return prefix + (raw if len(raw) <= KEY_MOST else xxhash.xxh3_128_digest(raw))
+    return prefix + (raw if len(raw) <= MAX_KEY_BYTES else xxhash.xxh3_128_digest(raw))
 
 
 def _sum(key: bytes, rest: bytes) -> bytes:
@@ -165,32 +167,32 @@
 
 
 def decode(key: bytes, value: bytes, kind: type[R]) -> tuple[R, float]:
-    """A record and when it was confirmed, in Unix ms; raises BadRecord or NewerSchema."""
+    """A record and when it was confirmed, in Unix ms; raises InvalidRecord or NewerSchema."""
     if len(value) < _SUM.size + _HEAD.size:
-        raise BadRecord("too short")
+        raise InvalidRecord("too short")
     rest = bytes(value[_SUM.size :])
     if _sum(key, rest) != bytes(value[: _SUM.size]):
-        raise BadRecord("the checksum does not fit")
+        raise InvalidRecord("the checksum does not fit")
     schema, confirmed = _HEAD.unpack_from(rest)
     if schema > SCHEMA:
         raise NewerSchema(schema)
     if not 0 <= confirmed < 1e15:
-        raise BadRecord("no time")
+        raise InvalidRecord("no time")
     try:
         record: R = _decoders[kind].decode(rest[_HEAD.size :])
     except msgspec.MsgspecError as exc:
-        raise BadRecord(str(exc)) from None
+        raise InvalidRecord(str(exc)) from None
     return record, confirmed
 
 
-def take(stored: Stored, key: bytes, value: bytes) -> None:
+def load_pair(stored: Stored, key: bytes, value: bytes) -> None:
     """Add one pair of a store to what was read; what cannot be used is named and left out."""
     try:
         if key == LIST_KEY:
-            whole, stored.confirmed = decode(key, value, ListRecord)
+            whole, stored.confirmed_at = decode(key, value, ListRecord)
             stored.version = whole.version
-            stored.entries = whole.entries
-            stored.boot, stored.ahead = whole.boot, whole.ahead
+            stored.entry_count = whole.entry_count
+            stored.boot_id, stored.monotonic_offset = whole.boot_id, whole.monotonic_offset
         elif key == PACE_KEY:
             stored.pace, _ = decode(key, value, PaceRecord)
         elif key == OWNER_KEY:
@@ -202,8 +204,8 @@
             health, confirmed = decode(key, value, HealthRecord)
             stored.health[health.id] = (health, confirmed)
         else:
-            raise BadRecord("no key of ours")
+            raise InvalidRecord("no key of ours")
     except NewerSchema as exc:
-        stored.newer = max(stored.newer, exc.schema)
-    except BadRecord as exc:
-        stored.rotten.append(f"{key[:80]!r}: {exc}")
+        stored.newer_schema = max(stored.newer_schema, exc.schema)
+    except InvalidRecord as exc:
+        stored.rejected.append(f"{key[:80]!r}: {exc}")
--- a/puffinford/state/recovery.py
+++ b/puffinford/state/recovery.py
@@ -1,6 +1,7 @@
 """What a start goes by, and which word of discovery to take. No I/O, no clock; times are ms.
 
-`merge` makes one list of the store and the configuration's `known`, entry by entry. `ListGuard` looks at each
+`build_start_state` makes one list of the store and the configuration's `known`, entry by entry.
+`ListValidator` looks at each
 answer of discovery before it goes on.
 """
 
@@ -18,7 +19,7 @@
 _WORSE = {ServerState.LIVE: 0, ServerState.DRAINING: 1, ServerState.GONE: 2}
 
 
-def to_record(entry: ServerEntry, version: int, offset: float, told: float = 0.0) -> ServerRecord:
+def to_server_record(entry: ServerEntry, version: int, offset: float, told: float = 0.0) -> ServerRecord:
     """A machine as it is kept; `offset` is the store's time less the host's, in ms, `told` its start in Unix
     ms as discovery told it.
     """
@@ -40,7 +41,7 @@
     )
 
 
-def to_machine(record: ServerRecord, offset: float, now: float) -> ServerEntry | None:
+def to_server_entry(record: ServerRecord, offset: float, now: float) -> ServerEntry | None:
     """A kept machine; None where the record names a state or front that nobody knows. `now` is the host's."""
     state = STATES_BY_NAME.get(record.state)
     if state is None or record.front not in FRONT_NAMES:
@@ -93,7 +94,7 @@
 
 
 @dataclass(frozen=True)
-class Start:
+class StartState:
     """What a start goes by. `version` is what the first call of discovery continues from; None: it asks for
     all.
     """
@@ -104,18 +105,18 @@
     age: float  # of what was used, in ms
 
 
-def merge(
+def build_start_state(
     stored: Stored | None,
     known: ServerEntries | None,
     now: float,
     offset: float,
-    weights: trust.Weights,
+    trust_settings: trust.TrustSettings,
     known_age: float,
-) -> Start:
+) -> StartState:
     """One list of both, the newer side entry by entry; `now` and `known_age` in ms of the host's time."""
     kept = _kept(stored, offset, now)
     told = {entry.server.id: entry for entry in known.entries} if known is not None else {}
-    stored_age = trust.age(stored.confirmed - offset, now) if stored is not None else 0.0
+    stored_age = trust.age(stored.confirmed_at - offset, now) if stored is not None else 0.0
     known_newer = known is not None and _newer(known.version, known_age, stored, stored_age)
     # Guards against what is gone coming back to life: the newer side would name it, had it stayed.
     newer, older = (told, kept) if known_newer else (kept, told)
@@ -128,23 +129,23 @@
     version: int | None = None
     if known is not None and known_newer:
         version = known.version
-    elif stored is not None and stored.whole:
+    elif stored is not None and stored.is_complete:
         # An answer with the changes alone would never name an entry that the store has lost.
         version = stored.version
     old = known_age if known_newer else stored_age
-    terms = trust.terms(old, len(live), weights)
-    unverified = live if old > trust.AS_TOLD else frozenset()
-    health = [] if stored is None else _health(stored, now, offset, weights)
+    limits = trust.attempt_limits(old, len(live), trust_settings)
+    unverified = live if old > trust.TRUSTED_LIST_AGE_MS else frozenset()
+    health = [] if stored is None else _health(stored, now, offset, trust_settings)
     listed = ServerEntries(version or 0, True, machines)
-    restored = RestoredState(listed, unverified, terms.most, terms.patience, health)
+    restored = RestoredState(listed, unverified, limits.max_attempts, limits.attempt_timeout, health)
     source = "nothing" if not used else "known" if known_newer else "store"
-    return Start(restored, version, source, old)
+    return StartState(restored, version, source, old)
 
 
 def _kept(stored: Stored | None, offset: float, now: float) -> dict[str, ServerEntry]:
     if stored is None:
         return {}
-    made = {record.id: to_machine(record, offset, now) for record, _ in stored.servers.values()}
+    made = {record.id: to_server_entry(record, offset, now) for record, _ in stored.servers.values()}
     return {ident: entry for ident, entry in made.items() if entry is not None}
 
 
@@ -164,17 +165,17 @@
     return replace(entry, server=replace(entry.server, started=other.server.started))
 
 
-def _health(stored: Stored, now: float, offset: float, weights: trust.Weights) -> list[Health]:
+def _health(stored: Stored, now: float, offset: float, trust_settings: trust.TrustSettings) -> list[Health]:
     """What was learned and still counts."""
     weighed = (
-        trust.weigh(to_health(record, confirmed, offset), now, weights)
+        trust.discard_expired(to_health(record, confirmed, offset), now, trust_settings)
         for record, confirmed in stored.health.values()
     )
     return [health for health in weighed if health is not None]
 
 
 @dataclass(frozen=True)
-class Taken:
+class AcceptedUpdate:
     """What to pass on of an answer (None: nothing), and what the next call continues from (None: ask for
     all).
     """
@@ -184,7 +185,7 @@
     note: str = ""  # why it was not taken as it is
 
 
-class ListGuard:
+class ListValidator:
     """Holds the list in force, and judges each answer by it.
 
     The rules count news as told once they are written to us, so leaving, left and absent servers are taken
@@ -206,7 +207,7 @@
         self._version = None
         self._doubted = False
 
-    def judge(self, answer: ServerEntries) -> Taken:
+    def validate(self, answer: ServerEntries) -> AcceptedUpdate:
         """What to take of an answer."""
         machines = _each_once(answer.entries)
         older = self._version is not None and answer.version < self._version
@@ -216,19 +217,19 @@
                 return self._bad_news(machines, None, "changes without a list")
             self._doubted = False
             self._hold(answer, machines)
-            return Taken(ServerEntries(answer.version, answer.full, machines), answer.version)
+            return AcceptedUpdate(ServerEntries(answer.version, answer.full, machines), answer.version)
         note = f"version {answer.version} after {self._version}"
         self._doubted = True
         if answer.full:
             machines = machines + self._absent(machines)
         return self._bad_news(machines, None, note)
 
-    def _bad_news(self, machines: list[ServerEntry], version: int | None, note: str) -> Taken:
+    def _bad_news(self, machines: list[ServerEntry], version: int | None, note: str) -> AcceptedUpdate:
         bad = [m for m in machines if m.server.state is not ServerState.LIVE and m.server.id in self._held]
         for entry in bad:
             self._held[entry.server.id] = entry
         passed = ServerEntries(self._version or 0, False, bad) if bad else None
-        return Taken(passed, version, note)
+        return AcceptedUpdate(passed, version, note)
 
     def _absent(self, machines: list[ServerEntry]) -> list[ServerEntry]:
         """The held servers that a whole answer does not name, as gone."""
--- a/puffinford/state/store.py
+++ b/puffinford/state/store.py
@@ -25,18 +25,18 @@
 from puffinford.state import records
 from puffinford.state.records import HEALTH_PREFIX, LIST_KEY, SERVER_PREFIX, Stored
 
-MAP_LEAST = 64 << 10  # bytes; LMDB needs some pages for any tree
-CHILD_MOST = 10.0  # seconds for the child that reads a store; then it counts as one that cannot be read
-READERS = 16  # processes and tools that may read at once
+MIN_MAP_BYTES = 64 << 10  # bytes; LMDB needs some pages for any tree
+CHILD_TIMEOUT_S = 10.0  # seconds for the child that reads a store; then it counts as one that cannot be read
+MAX_READERS = 16  # processes and tools that may read at once
 
 Pairs = Mapping[bytes, bytes | None]  # values by key; None deletes
 
 
-class StoreFailed(Exception):
+class StoreError(Exception):
     """A file or LMDB operation failed; the text says which and why. The last commit stays."""
 
 
-class StoreFull(StoreFailed):
+class StoreFullError(StoreError):
     """The store has reached its size, or its disk has."""
 
 
@@ -50,12 +50,12 @@
 
 
 @dataclass(frozen=True)
-class Renewal:
+class Rebuild:
     """What came of making a store anew: what was wrong, and where the old file is now, if set aside."""
 
     verdict: Verdict
-    aside: str = ""
-    why: str = ""
+    quarantined_path: str = ""
+    reason: str = ""
 
 
 def lock_path(path: Path) -> Path:
@@ -66,14 +66,14 @@
 def _open(path: Path, size: int, *, sync: bool, write: bool, lock: bool = True) -> lmdb.Environment:
     return lmdb.open(
         str(path),
-        map_size=max(size, MAP_LEAST),
+        map_size=max(size, MIN_MAP_BYTES),
         subdir=False,
         readonly=not write,
         create=write,
         sync=sync,
         metasync=sync,
         mode=0o600,
-        max_readers=READERS,
+        max_readers=MAX_READERS,
         lock=lock,
     )
 
@@ -82,22 +82,22 @@
     stored = Stored()
     with environment.begin(buffers=True) as transaction:
         for key, value in transaction.cursor():
-            records.take(stored, bytes(key), bytes(value))
+            records.load_pair(stored, bytes(key), bytes(value))
     return stored
 
 
 @contextmanager
-def _told(what: str) -> Iterator[None]:
+def _translate_errors(what: str) -> Iterator[None]:
     """LMDB's errors as ours."""
     try:
         yield
     except (lmdb.MapFullError, lmdb.DiskError) as exc:
-        raise StoreFull(f"{what}: {exc}") from None
+        raise StoreFullError(f"{what}: {exc}") from None
     except (lmdb.Error, OSError) as exc:
         # LMDB hands on errno as text alone.
         lack = (errno.ENOSPC, errno.EFBIG, errno.EDQUOT)
         full = any(os.strerror(number) in str(exc) for number in lack)
-        raise (StoreFull if full else StoreFailed)(f"{what}: {exc}") from None
+        raise (StoreFullError if full else StoreError)(f"{what}: {exc}") from None
 
 
 class Store:
@@ -111,33 +111,33 @@
         self._sync = sync
 
     @property
-    def writes(self) -> bool:
+    def is_writer(self) -> bool:
         """Whether this process is the one that writes."""
         return self._lock is not None
 
     def read(self) -> Stored:
-        """All that is sound; raises StoreFailed."""
-        with _told("read"):
+        """All that is sound; raises StoreError."""
+        with _translate_errors("read"):
             return _read(self._environment)
 
     def read_health(self) -> Stored:
-        """What was learned alone, which is what a new version takes over; raises StoreFailed."""
+        """What was learned alone, which is what a new version takes over; raises StoreError."""
         stored = Stored()
-        with _told("read"), self._environment.begin(buffers=True) as transaction:
+        with _translate_errors("read"), self._environment.begin(buffers=True) as transaction:
             cursor = transaction.cursor()
             if cursor.set_range(HEALTH_PREFIX):
                 for key, value in cursor:
                     if not bytes(key).startswith(HEALTH_PREFIX):
                         break
-                    records.take(stored, bytes(key), bytes(value))
+                    records.load_pair(stored, bytes(key), bytes(value))
         return stored
 
     def write(self, pairs: Pairs) -> float:
-        """Commit all of them or none; the ms it took. Raises StoreFull or StoreFailed."""
-        if not self.writes:
-            raise StoreFailed("write: another process writes")
+        """Commit all of them or none; the ms it took. Raises StoreFullError or StoreError."""
+        if not self.is_writer:
+            raise StoreError("write: another process writes")
         started = time.perf_counter()
-        with _told("write"):
+        with _translate_errors("write"):
             try:
                 self._put(pairs)
             except lmdb.MapFullError:
@@ -156,19 +156,19 @@
                 else:
                     transaction.put(key, value)
 
-    def claim(self) -> bool:
+    def acquire_write_lock(self) -> bool:
         """Become the one that writes, where nobody is; tells whether this process is now.
 
-        Raises StoreFailed; then it is not, and may try again.
+        Raises StoreError; then it is not, and may try again.
         """
         if self._lock is None:
-            with _told("lock"):
+            with _translate_errors("lock"):
                 lock = _take_lock(self.path)
             if lock is not None:
                 self._reopen_to_write(lock)
-        return self.writes
+        return self.is_writer
 
-    def let_go(self) -> None:
+    def release_write_lock(self) -> None:
         """Leave writing to another process; reading goes on."""
         if self._lock is not None:
             os.close(self._lock)
@@ -177,10 +177,10 @@
     def _reopen_to_write(self, lock: int) -> None:
         """Open the file anew, as the holder of the writer's lock."""
         try:
-            with _told("open"):
+            with _translate_errors("open"):
                 self._environment.close()  # LMDB opens a file once in a process
                 self._environment = _open(self.path, self._map_size, sync=self._sync, write=True)
-        except StoreFailed:
+        except StoreError:
             os.close(lock)
             raise
         self._lock = lock
@@ -188,9 +188,9 @@
     def close(self) -> None:
         """Close the file and let the lock go."""
         self._environment.close()
-        self.let_go()
+        self.release_write_lock()
 
-    def used(self) -> int:
+    def used_bytes(self) -> int:
         """Bytes of the file that are in use or were."""
         info, stat = self._environment.info(), self._environment.stat()
         return (int(info["last_pgno"]) + 1) * int(stat["psize"])
@@ -207,37 +207,37 @@
     return descriptor
 
 
-def open_store(path: Path, size: int, *, durable: bool) -> tuple[Store, Renewal | None]:
-    """Open a store, or make it. The first process writes; a later one reads until it may `claim`.
+def open_store(path: Path, size: int, *, durable: bool) -> tuple[Store, Rebuild | None]:
+    """Open a store, or make it. The first process writes; later ones read.
 
     `size` is the most bytes that its file may take. A `durable` one is synced at each commit, and made anew
-    first where this process writes. Raises StoreFailed.
+    first where this process writes. Raises StoreError.
     """
-    with _told("open"):
+    with _translate_errors("open"):
         path.parent.mkdir(parents=True, exist_ok=True)
         lock = _take_lock(path)
         try:
-            renewal = renew(path, size) if durable and lock is not None and path.exists() else None
+            rebuilt = rebuild(path, size) if durable and lock is not None and path.exists() else None
             environment = _open(path, size, sync=durable, write=lock is not None)
         except BaseException:
             if lock is not None:
                 os.close(lock)
             raise
-    return Store(path, environment, lock, durable), renewal
+    return Store(path, environment, lock, durable), rebuilt
 
 
 def inspect(path: Path) -> Stored:
-    """What a store holds, read by a child so that a rotten one ends the child alone; raises StoreFailed.
+    """What a store holds, read by a child so that a rotten one ends the child alone; raises StoreError.
 
     For tools: it works beside a running balancer.
     """
     if not path.exists():
-        raise StoreFailed(f"{path}: no such store")
-    with tempfile.TemporaryDirectory() as directory, _told("read"):
+        raise StoreError(f"{path}: no such store")
+    with tempfile.TemporaryDirectory() as directory, _translate_errors("read"):
         copy = Path(directory) / "copy"
         verdict, why = _in_child(lambda: _copy(path, copy, lock=True, keep_all=True))
         if verdict is not Verdict.SOUND:
-            raise StoreFailed(f"{path}: cannot be read: {why}")
+            raise StoreError(f"{path}: cannot be read: {why}")
         environment = _open(copy, 0, sync=False, write=False)
         try:
             return _read(environment)
@@ -245,28 +245,28 @@
             environment.close()
 
 
-def renew(path: Path, size: int) -> Renewal | None:
+def rebuild(path: Path, size: int) -> Rebuild | None:
     """Make a store anew from its sound records. The caller holds the writer's lock.
 
     A store that cannot be read is set aside as `NAME.bad`, one that a later release wrote as `NAME.newer`; in
     both cases what starts is empty. Raises OSError.
     """
     fresh = path.with_name(path.name + ".new")
-    remove(fresh)
+    remove_files(fresh)
     verdict, why = _in_child(lambda: _copy(path, fresh, size))
     if verdict in (Verdict.SOUND, Verdict.FULL):
-        remove(path, keep=True)
+        remove_files(path, keep=True)
         os.replace(fresh, path)
-        remove(fresh)
-        return Renewal(verdict, why=why) if why else None
-    remove(fresh)
+        remove_files(fresh)
+        return Rebuild(verdict, reason=why) if why else None
+    remove_files(fresh)
     aside = path.with_name(path.name + (".newer" if verdict is Verdict.NEWER else ".bad"))
     os.replace(path, aside)
-    remove(path)
-    return Renewal(verdict, str(aside), why)
+    remove_files(path)
+    return Rebuild(verdict, str(aside), why)
 
 
-def remove(path: Path, *, keep: bool = False) -> None:
+def remove_files(path: Path, *, keep: bool = False) -> None:
     """Delete a store's file (or `keep` it) and LMDB's lock file beside it."""
     for name in ([] if keep else [path]) + [path.with_name(path.name + "-lock")]:
         with contextlib.suppress(FileNotFoundError):
@@ -291,15 +291,15 @@
     stored = Stored()
     good: list[tuple[int, bytes, bytes]] = []
     for key, value in pairs:
-        before = len(stored.rotten)
-        records.take(stored, key, value)
-        if keep_all or len(stored.rotten) == before:
+        before = len(stored.rejected)
+        records.load_pair(stored, key, value)
+        if keep_all or len(stored.rejected) == before:
             good.append((_rank(key, stored), key, value))
-    if stored.newer and not keep_all:
-        return Verdict.NEWER, f"schema {stored.newer} is newer than {records.SCHEMA}"
+    if stored.newer_schema and not keep_all:
+        return Verdict.NEWER, f"schema {stored.newer_schema} is newer than {records.SCHEMA}"
     good.sort(key=lambda entry: entry[0])
     new = _open(target, size or max(1 << 20, 4 * source.stat().st_size), sync=False, write=True)
-    verdict, why = Verdict.SOUND, "; ".join(stored.rotten[:3])
+    verdict, why = Verdict.SOUND, "; ".join(stored.rejected[:3])
     try:
         # In pieces: a transaction that meets the end of the store is lost whole.
         for start in range(0, len(good), 256):
@@ -351,8 +351,8 @@
 
 
 def _wait(child: int) -> int:
-    """The child's status; it is killed after CHILD_MOST."""
-    end = time.monotonic() + CHILD_MOST
+    """The child's status; it is killed after CHILD_TIMEOUT_S."""
+    end = time.monotonic() + CHILD_TIMEOUT_S
     while True:
         done, status = os.waitpid(child, os.WNOHANG)
         if done:
@@ -363,35 +363,35 @@
         time.sleep(0.001)
 
 
-def copy_to(stored: Iterable[tuple[bytes, bytes]], path: Path, size: int) -> None:
-    """Write a store from pairs, beside it first and then in its place; raises StoreFailed."""
+def replace_store(stored: Iterable[tuple[bytes, bytes]], path: Path, size: int) -> None:
+    """Write a store from pairs, beside it first and then in its place; raises StoreError."""
     fresh = path.with_name(path.name + ".new")
-    remove(fresh)
-    with _told("write"):
+    remove_files(fresh)
+    with _translate_errors("write"):
         environment = _open(fresh, size, sync=True, write=True)
         with environment.begin(write=True) as transaction:
             for key, value in stored:
                 transaction.put(key, value)
         environment.close()
-        remove(path, keep=True)
+        remove_files(path, keep=True)
         os.replace(fresh, path)
-        remove(fresh)
+        remove_files(fresh)
 
 
 @contextmanager
-def writing(path: Path) -> Iterator[None]:
-    """Be the process that writes; raises StoreFailed where a balancer is."""
-    with _told("lock"):
+def exclusive_writer(path: Path) -> Iterator[None]:
+    """Be the process that writes; raises StoreError where a balancer is."""
+    with _translate_errors("lock"):
         lock = _take_lock(path)
     if lock is None:
-        raise StoreFailed(f"{path}: a balancer writes there; stop it first")
+        raise StoreError(f"{path}: a balancer writes there; stop it first")
     try:
         yield
     finally:
         os.close(lock)
 
 
-def free_space(path: Path) -> int:
+def free_bytes(path: Path) -> int:
     """Bytes free where a store is, for `puffinford state verify`."""
     found = os.statvfs(path.parent)
     return found.f_bavail * found.f_frsize
--- a/puffinford/state/timeline.py
+++ b/puffinford/state/timeline.py
@@ -11,16 +11,18 @@
 
 from puffinford.core.clock import Clock
 from puffinford.state.records import Stored
-from puffinford.state.trust import SKEW
+from puffinford.state.trust import CLOCK_SKEW_TOLERANCE_MS
 
-BOOT_ID = Path("/proc/sys/kernel/random/boot_id")  # proc(5): a new one at each start of the kernel
-STEP_MOST = 7_200_000.0  # ms; a greater difference is no step of a clock, and what is kept is not relied on
+BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")  # proc(5): a new one at each start of the kernel
+MAX_CLOCK_STEP_MS = (
+    7_200_000.0  # ms; a greater difference is no step of a clock, and what is kept is not relied on
+)
 
 
 def boot_id() -> str:
     """This boot of the machine; empty where it cannot be told."""
     try:
-        return BOOT_ID.read_text(encoding="ascii").strip()
+        return BOOT_ID_PATH.read_text(encoding="ascii").strip()
     except (OSError, ValueError):
         return ""
 
@@ -30,11 +32,11 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self.boot = boot_id()
+        self.boot_id = boot_id()
         self.offset = time.time() * 1_000.0 - clock.now()  # the store's time less the host's, in ms
 
     @property
-    def ahead(self) -> float:
+    def monotonic_offset(self) -> float:
         """The store's time less the system's monotonic clock, in ms."""
         return self.offset + self._clock.anchor
 
@@ -42,15 +44,18 @@
         """Now, in the store's time."""
         return self._clock.now() + self.offset
 
-    def go_on(self, stored: Stored) -> bool:
+    def resume(self, stored: Stored) -> bool:
         """Go on with the time of a store that was written in this boot; tells whether it is one.
 
         What was confirmed at a time to come was written under another monotonic clock, whatever its boot.
         """
-        if not stored.boot or stored.boot != self.boot:
+        if not stored.boot_id or stored.boot_id != self.boot_id:
             return False
-        offset = stored.ahead - self._clock.anchor
-        if abs(offset - self.offset) > STEP_MOST or stored.confirmed > self._clock.now() + offset + SKEW:
+        offset = stored.monotonic_offset - self._clock.anchor
+        if (
+            abs(offset - self.offset) > MAX_CLOCK_STEP_MS
+            or stored.confirmed_at > self._clock.now() + offset + CLOCK_SKEW_TOLERANCE_MS
+        ):
             return False
         self.offset = offset
         return True
--- a/puffinford/state/trust.py
+++ b/puffinford/state/trust.py
@@ -7,33 +7,37 @@
 
 from puffinford.interface import Health
 
-AS_TOLD = 10_000.0  # a list no older than this is used as if told now: nothing in it has to prove itself
-SKEW = 5_000.0  # a time so little ahead of now is another machine's clock, not one that was set back
-AHEAD_AGE = 3_600_000.0  # the age given to what was kept at a time that has not come yet
-FEW_PART = 4.0  # of the entries, at most one in so many is tried at once
-FEW_LEAST = 2  # entries tried at once while there is any trust
+TRUSTED_LIST_AGE_MS = (
+    10_000.0  # a list no older than this is used as if told now: nothing in it has to prove itself
+)
+CLOCK_SKEW_TOLERANCE_MS = (
+    5_000.0  # a time so little ahead of now is another machine's clock, not one that was set back
+)
+FUTURE_TIMESTAMP_AGE_MS = 3_600_000.0  # the age given to what was kept at a time that has not come yet
+UNVERIFIED_ENTRIES_PER_ATTEMPT = 4.0  # of the entries, at most one in so many is tried at once
+MIN_UNVERIFIED_ATTEMPTS = 2  # entries tried at once while there is any trust
 CAPACITY_ESTIMATE_TTL_MS = (
     30_000.0  # what late messages told of a server's room, as long as the module holds it
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class AttemptLimits:
     """How unproven entries may be tried: claims out at once (0: any number), and ms for each."""
 
-    most: int
-    patience: float
+    max_attempts: int
+    attempt_timeout: float
 
 
 @dataclass(frozen=True, slots=True)
-class Weights:
+class TrustSettings:
     """The operators' figures, in ms; see `section state`."""
 
-    fresh: float = 60_000.0
-    distrust: float = 86_400_000.0
-    patience: float = 400.0
-    patience_old: float = 150.0
-    learned_for: float = 60_000.0
+    fresh_age: float = 60_000.0
+    untrusted_age: float = 86_400_000.0
+    attempt_timeout: float = 400.0
+    old_list_attempt_timeout: float = 150.0
+    health_ttl: float = 60_000.0
 
 
 def age(confirmed: float, now: float) -> float:
@@ -44,40 +48,46 @@
     """
     if now >= confirmed:
         return now - confirmed
-    return 0.0 if confirmed - now <= SKEW else AHEAD_AGE
+    return 0.0 if confirmed - now <= CLOCK_SKEW_TOLERANCE_MS else FUTURE_TIMESTAMP_AGE_MS
 
 
-def trust(old: float, weights: Weights) -> float:
+def trust_level(old: float, settings: TrustSettings) -> float:
     """The trust in a list of that age, 1 to 0: it falls with the logarithm of the age.
 
     Lists go out of date like most things: what has stood for a week mostly stands for another day.
     """
-    if old <= weights.fresh:
+    if old <= settings.fresh_age:
         return 1.0
-    if old >= weights.distrust:
+    if old >= settings.untrusted_age:
         return 0.0
-    fresh = max(weights.fresh, 1.0)
-    return 1.0 - math.log(old / fresh) / math.log(weights.distrust / fresh)
+    fresh = max(settings.fresh_age, 1.0)
+    return 1.0 - math.log(old / fresh) / math.log(settings.untrusted_age / fresh)
 
 
-def terms(old: float, entries: int, weights: Weights) -> Terms:
+def attempt_limits(old: float, entries: int, settings: TrustSettings) -> AttemptLimits:
     """The terms for a list of that age that names so many servers."""
-    level = trust(old, weights)
-    patience = weights.patience_old * (weights.patience / weights.patience_old) ** level
+    level = trust_level(old, settings)
+    attempt_timeout = (
+        settings.old_list_attempt_timeout
+        * (settings.attempt_timeout / settings.old_list_attempt_timeout) ** level
+    )
     if level >= 1.0:
-        return Terms(0, patience)
+        return AttemptLimits(0, attempt_timeout)
     if level <= 0.0:
-        return Terms(1, patience)
-    return Terms(max(FEW_LEAST, math.ceil(level * entries / FEW_PART)), patience)
+        return AttemptLimits(1, attempt_timeout)
+    return AttemptLimits(
+        max(MIN_UNVERIFIED_ATTEMPTS, math.ceil(level * entries / UNVERIFIED_ENTRIES_PER_ATTEMPT)),
+        attempt_timeout,
+    )
 
 
-def weigh(health: Health, now: float, weights: Weights) -> Health | None:
+def discard_expired(health: Health, now: float, settings: TrustSettings) -> Health | None:
     """What is still worth telling of one server; None where nothing is.
 
     Each item has its own time: a server slow two seconds ago is still slow, of two minutes ago it is not.
     """
     old = age(health.observed_at, now)
-    if old > weights.learned_for or health.observed_at > now + SKEW:
+    if old > settings.health_ttl or health.observed_at > now + CLOCK_SKEW_TOLERANCE_MS:
         return None
     slow = health.slow_until > now
     capacity_estimate = (
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -18,7 +18,7 @@
 from puffinford.core.clock import Clock
 from puffinford.standins.discovery import Discovery
 from puffinford.standins.trace import Trace
-from puffinford.state.store import StoreFailed, inspect
+from puffinford.state.store import StoreError, inspect
 from tests.harness import Handler, Peer, Program, Script, harness, opening, program
 
 SEAM = Path(__file__).parent / "seam"
@@ -75,7 +75,7 @@
         """Wait until the process's store holds the list as discovery has it."""
         path = self.directory / "puffinford.n1.state"
         while True:
-            with contextlib.suppress(StoreFailed):
+            with contextlib.suppress(StoreError):
                 if inspect(path).version == self.lists.registry.version:
                     return
             await anyio.sleep(0.02)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -10,15 +10,15 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from puffinford.rebalance.lives import Lives
-from puffinford.rebalance.pace import Pace, PaceFigures, Signal
-from puffinford.rebalance.planner import Candidate, Figures, Place, Planner, Why
+from puffinford.rebalance.lifetimes import Lifetimes
+from puffinford.rebalance.pace import Pace, PaceSettings, Signal
+from puffinford.rebalance.planner import Candidate, Planner, PlannerSettings, ServerLoad, SkipReason
 
-FIGURES = Figures(settle=0.0, pace=PaceFigures(start=100.0, most=100.0, least=0.5))
+SETTINGS = PlannerSettings(settle_time=0.0, pace=PaceSettings(start_rate=100.0, max_rate=100.0, min_rate=0.5))
 
 
-def places(**loads: float) -> list[Place]:
-    return [Place(ident, load, 1.0, connection_count=int(load)) for ident, load in loads.items()]
+def places(**loads: float) -> list[ServerLoad]:
+    return [ServerLoad(ident, load, 1.0, connection_count=int(load)) for ident, load in loads.items()]
 
 
 def candidate(job: str, server: str = "a", **more: object) -> Candidate:
@@ -26,35 +26,35 @@
     return Candidate(job, crc32(job.encode()), server, **(base | more))  # type: ignore[arg-type]
 
 
-def planner(figures: Figures = FIGURES) -> Planner:
+def planner(figures: PlannerSettings = SETTINGS) -> Planner:
     return Planner(figures, random.Random(1))
 
 
 def test_moving_starts_over_the_band_and_stops_inside_it() -> None:
-    made = planner(Figures(settle=1_000.0, pace=FIGURES.pace))
-    assert made.observe(0.0, places(a=12, b=10)) is Why.BALANCED
-    assert made.observe(1.0, places(a=16, b=8)) is Why.SETTLING
+    made = planner(PlannerSettings(settle_time=1_000.0, pace=SETTINGS.pace))
+    assert made.observe(0.0, places(a=12, b=10)) is SkipReason.BALANCED
+    assert made.observe(1.0, places(a=16, b=8)) is SkipReason.SETTLING
     assert made.observe(1_001.0, places(a=16, b=8)) is None
     assert made.observe(2_000.0, places(a=13.5, b=10.5)) is None, "inside the band it goes on"
-    assert made.observe(3_000.0, places(a=12.5, b=11.5)) is Why.BALANCED
-    assert made.observe(4_000.0, places(a=14, b=10)) is Why.BALANCED, "and does not start again there"
+    assert made.observe(3_000.0, places(a=12.5, b=11.5)) is SkipReason.BALANCED
+    assert made.observe(4_000.0, places(a=14, b=10)) is SkipReason.BALANCED, "and does not start again there"
 
 
 @pytest.mark.parametrize(
     ("seen", "why"),
     [
-        (places(a=3, b=1), Why.FEW),
-        (places(a=30), Why.FEW),
+        (places(a=3, b=1), SkipReason.FEW),
+        (places(a=30), SkipReason.FEW),
         (
             [
-                Place("a", 20, 1.0, degraded=True, connection_count=9),
-                Place("b", 2, 1.0, degraded=True, connection_count=9),
+                ServerLoad("a", 20, 1.0, degraded=True, connection_count=9),
+                ServerLoad("b", 2, 1.0, degraded=True, connection_count=9),
             ],
-            Why.STRAINED,
+            SkipReason.DEGRADED,
         ),
     ],
 )
-def test_where_there_is_nothing_to_judge_by_nothing_moves(seen: list[Place], why: Why) -> None:
+def test_where_there_is_nothing_to_judge_by_nothing_moves(seen: list[ServerLoad], why: SkipReason) -> None:
     assert planner().observe(0.0, seen) is why
 
 
@@ -62,13 +62,15 @@
     made = planner()
     assert (
         made.observe(
-            0.0, [Place("a", 30, 3.0, connection_count=30), Place("b", 10, 1.0, connection_count=10)]
+            0.0,
+            [ServerLoad("a", 30, 3.0, connection_count=30), ServerLoad("b", 10, 1.0, connection_count=10)],
         )
-        is Why.BALANCED
+        is SkipReason.BALANCED
     )
     assert (
         made.observe(
-            1.0, [Place("a", 20, 0.5, connection_count=20), Place("b", 20, 2.0, connection_count=20)]
+            1.0,
+            [ServerLoad("a", 20, 0.5, connection_count=20), ServerLoad("b", 20, 2.0, connection_count=20)],
         )
         is None
     )
@@ -78,20 +80,20 @@
 @pytest.mark.parametrize(
     ("spared", "why"),
     [
-        (candidate("j", quiet=False), Why.BUSY),
-        (candidate("j", age=100.0), Why.YOUNG),
-        (candidate("j", cls="short", age=60_000.0), Why.ENDING),
+        (candidate("j", quiet=False), SkipReason.BUSY),
+        (candidate("j", age=100.0), SkipReason.YOUNG),
+        (candidate("j", cls="short", age=60_000.0), SkipReason.ENDING),
     ],
 )
-def test_clients_that_matter_now_are_left_alone(spared: Candidate, why: Why) -> None:
+def test_clients_that_matter_now_are_left_alone(spared: Candidate, why: SkipReason) -> None:
     made = planner()
     for n in range(40):
-        made.ended("short", 62_000.0 + n, cut=False)
+        made.on_closed("short", 62_000.0 + n, cut=False)
     assert made.observe(0.0, places(a=30, b=5)) is None
-    assert made.choose(0.0, [spared], lambda _: "b") is None
-    assert made.left_out[why] == 1
-    chosen = made.choose(0.0, [candidate("i"), spared], lambda _: "b")
-    assert chosen is not None and chosen.job == "i"
+    assert made.choose_move(0.0, [spared], lambda _: "b") is None
+    assert made.skipped[why] == 1
+    chosen = made.choose_move(0.0, [candidate("i"), spared], lambda _: "b")
+    assert chosen is not None and chosen.request_id == "i"
 
 
 def test_the_least_worth_for_the_load_goes_first_and_a_group_together() -> None:
@@ -105,9 +107,9 @@
     ]
     order = []
     for _ in range(4):
-        chosen = made.choose(0.0, [c for c in sample if c.job not in order], lambda _: "b")
+        chosen = made.choose_move(0.0, [c for c in sample if c.request_id not in order], lambda _: "b")
         assert chosen is not None
-        order.append(chosen.job)
+        order.append(chosen.request_id)
     assert order == ["heavy", "same group", "dear", "light"]
 
 
@@ -115,52 +117,56 @@
     made = planner()
     made.observe(0.0, places(a=30, b=5))
     one = candidate("one")
-    assert made.choose(0.0, [one], lambda _: "b") is not None
+    assert made.choose_move(0.0, [one], lambda _: "b") is not None
     made.observe(100_000.0, places(a=5, b=30))
-    back = Candidate(one.job, one.key, "b", "x", 1.0, 1.0, 90_000.0)
-    assert made.choose(100_000.0, [back], lambda _: "a") is None and made.left_out[Why.BACK] == 1
+    back = Candidate(one.request_id, one.key, "b", "x", 1.0, 1.0, 90_000.0)
+    assert made.choose_move(100_000.0, [back], lambda _: "a") is None and made.skipped[SkipReason.BACK] == 1
     made.observe(200_000.0, places(a=30, b=29.9, c=2))
-    assert made.choose(200_000.0, [candidate("two")], lambda _: "b") is None
-    assert made.left_out[Why.NO_GAIN] == 1
+    assert made.choose_move(200_000.0, [candidate("two")], lambda _: "b") is None
+    assert made.skipped[SkipReason.NO_GAIN] == 1
 
 
 def test_a_giant_group_is_not_torn_apart_and_the_rest_goes_round_it() -> None:
     made = planner()
     made.observe(0.0, places(a=40, b=5))
     giant = candidate("giant", group=1, group_size=36)
-    assert made.choose(0.0, [giant], lambda _: "b") is None and made.left_out[Why.GROUP] == 1
-    chosen = made.choose(0.0, [giant, candidate("other", group=2, group_size=4, worth=9.0)], lambda _: "b")
-    assert chosen is not None and chosen.job == "other"
+    assert made.choose_move(0.0, [giant], lambda _: "b") is None and made.skipped[SkipReason.GROUP] == 1
+    chosen = made.choose_move(
+        0.0, [giant, candidate("other", group=2, group_size=4, worth=9.0)], lambda _: "b"
+    )
+    assert chosen is not None and chosen.request_id == "other"
 
 
 def test_the_rate_grows_with_good_returns_and_falls_at_once() -> None:
-    pace = Pace(PaceFigures(start=1.0, least=0.2, most=4.0, gain=0.1, cool=5_000.0), random.Random(1))
+    pace = Pace(
+        PaceSettings(start_rate=1.0, min_rate=0.2, max_rate=4.0, gain=0.1, cooldown=5_000.0), random.Random(1)
+    )
     for n in range(50):
-        pace.take(Signal.RETURNED, float(n))
+        pace.apply(Signal.RETURNED, float(n))
     assert pace.rate == 4.0
-    assert pace.take(Signal.REFUSED, 100.0) and pace.rate == 2.0
-    assert not pace.take(Signal.REFUSED, 110.0), "of one moment"
-    pace.take(Signal.RETURNED, 120.0)
+    assert pace.apply(Signal.REFUSED, 100.0) and pace.rate == 2.0
+    assert not pace.apply(Signal.REFUSED, 110.0), "of one moment"
+    pace.apply(Signal.RETURNED, 120.0)
     assert pace.rate == 2.0, "no growth while it cools"
-    assert pace.take(Signal.LATE, 6_000.0) and pace.rate == 1.0
-    assert pace.take(Signal.STRAINED, 20_000.0) and pace.rate == 0.2
-    assert not pace.due(24_000.0) and pace.due(25_100.0)
+    assert pace.apply(Signal.DELAYED, 6_000.0) and pace.rate == 1.0
+    assert pace.apply(Signal.DEGRADED, 20_000.0) and pace.rate == 0.2
+    assert not pace.is_due(24_000.0) and pace.is_due(25_100.0)
 
 
 @pytest.mark.parametrize("look", [20.0, 200.0, 900.0])
 def test_moves_keep_to_the_rate_however_far_apart_the_looks_are(look: float) -> None:
-    pace = Pace(PaceFigures(start=2.0, most=2.0), random.Random(7))
+    pace = Pace(PaceSettings(start_rate=2.0, max_rate=2.0), random.Random(7))
     now, times = 0.0, []
     while now < 1_000_000.0:
         now += look
-        while pace.due(now):
-            pace.made(now)
+        while pace.is_due(now):
+            pace.record_move(now)
             times.append(now)
     assert 1_850 <= len(times) <= 2_150
     times.clear()
     now += 600_000.0
-    while pace.due(now):
-        pace.made(now)
+    while pace.is_due(now):
+        pace.record_move(now)
         times.append(now)
     assert len(times) <= 12, "a long time without any is not made up for"
 
@@ -168,57 +174,57 @@
 def test_returns_and_refusals_count_once_and_only_for_moved_clients() -> None:
     made = planner()
     made.observe(0.0, places(a=30, b=5))
-    chosen = made.choose(0.0, [candidate("one")], lambda _: "b")
+    chosen = made.choose_move(0.0, [candidate("one")], lambda _: "b")
     assert chosen is not None
-    assert made.returned(100.0, 1234, "b", 5.0) is None
-    assert made.turned_away(100.0, chosen.key) is Signal.REFUSED
-    assert made.late(200.0, "b") is Signal.LATE and made.late(200.0, "a") is None
-    assert made.returned(300.0, chosen.key, "b", 5.0) is Signal.RETURNED
-    assert made.returned(400.0, chosen.key, "b", 5.0) is None
-    made.choose(0.0, [candidate("two")], lambda _: "b")
-    assert made.lost_sight(10_000.0) == 1 and made.lost_sight(20_000.0) == 0
+    assert made.on_established(100.0, 1234, "b", 5.0) is None
+    assert made.on_refused(100.0, chosen.key) is Signal.REFUSED
+    assert made.on_delay(200.0, "b") is Signal.DELAYED and made.on_delay(200.0, "a") is None
+    assert made.on_established(300.0, chosen.key, "b", 5.0) is Signal.RETURNED
+    assert made.on_established(400.0, chosen.key, "b", 5.0) is None
+    made.choose_move(0.0, [candidate("two")], lambda _: "b")
+    assert made.expire_returns(10_000.0) == 1 and made.expire_returns(20_000.0) == 0
 
 
 def test_rests_and_pace_go_on_in_the_next_process() -> None:
     made = planner()
     made.observe(0.0, places(a=30, b=5))
-    chosen = made.choose(0.0, [candidate("one")], lambda _: "b")
+    chosen = made.choose_move(0.0, [candidate("one")], lambda _: "b")
     assert chosen is not None
     later = planner()
-    later.restore(50_000.0, 0.7, made.rests(20_000.0))
+    later.restore(50_000.0, 0.7, made.recent_moves(20_000.0))
     assert later.pace.rate == 0.7
     later.observe(50_000.0, places(a=30, b=5))
-    assert later.choose(50_000.0, [candidate("one")], lambda _: "b") is None
-    assert later.left_out[Why.RESTING] == 1
-    assert made.rests(70_000.0) == []
+    assert later.choose_move(50_000.0, [candidate("one")], lambda _: "b") is None
+    assert later.skipped[SkipReason.RESTING] == 1
+    assert made.recent_moves(70_000.0) == []
 
 
 @given(st.lists(st.floats(0.0, 1e6), min_size=10, max_size=200), st.floats(0.0, 2e6))
 def test_remaining_life_is_never_below_zero_or_past_all_that_was_seen(ages: list[float], age: float) -> None:
-    lives = Lives()
+    lives = Lifetimes()
     for seen in ages:
-        lives.end(seen)
-    left = lives.remaining(age)
+        lives.record(seen)
+    left = lives.mean_remaining(age)
     assert left is not None and 0.0 <= left <= 8.0 * max(*ages, age, 1_000.0) + 4_000.0
 
 
 def test_remaining_life_follows_what_was_seen() -> None:
     rng = random.Random(4)
-    lives = Lives()
+    lives = Lifetimes()
     for _ in range(400):
-        lives.end(rng.expovariate(1 / 30_000.0))
-    young, old = lives.remaining(0.0), lives.remaining(20_000.0)
+        lives.record(rng.expovariate(1 / 30_000.0))
+    young, old = lives.mean_remaining(0.0), lives.mean_remaining(20_000.0)
     assert young is not None and 20_000.0 < young < 45_000.0
     assert old is not None and 15_000.0 < old < 50_000.0, "an exponential life has no memory"
-    assert Lives().remaining(5.0) is None
+    assert Lifetimes().mean_remaining(5.0) is None
 
 
 def test_what_outlives_all_that_was_seen_is_not_taken_for_about_to_end() -> None:
     """In its first minute a process saw short lives alone, and moved nobody for all seemed to end soon."""
-    lives = Lives()
+    lives = Lifetimes()
     for age in range(1_000, 9_000, 400):
-        lives.end(float(age))
-    left = lives.remaining(16_000.0)
+        lives.record(float(age))
+    left = lives.mean_remaining(16_000.0)
     assert left is not None and left > 15_000.0
 
 
@@ -229,7 +235,9 @@
         super().__init__()
         self.now = 0.0
         self.rng = random.Random(3)
-        self.figures = Figures(settle=500.0, rest=5_000.0, young=100.0, pace=PaceFigures(2.0, 0.5, 8.0))
+        self.figures = PlannerSettings(
+            settle_time=500.0, move_cooldown=5_000.0, min_age=100.0, pace=PaceSettings(2.0, 0.5, 8.0)
+        )
         self.planner = Planner(self.figures, self.rng)
         self.at: dict[str, str] = {}
         self.placed: dict[str, float] = {}
@@ -238,10 +246,10 @@
         self.moved_at: dict[str, float] = {}
         self.count = 0
 
-    def seen(self) -> list[Place]:
+    def seen(self) -> list[ServerLoad]:
         counts = {ident: sum(at == ident for at in self.at.values()) for ident in self.capacity}
         return [
-            Place(ident, counts[ident], can, connection_count=counts[ident])
+            ServerLoad(ident, counts[ident], can, connection_count=counts[ident])
             for ident, can in self.capacity.items()
         ]
 
@@ -264,12 +272,12 @@
     @rule(data=st.data())
     def leave(self, data: st.DataObject) -> None:
         job = data.draw(st.sampled_from(sorted(self.at)))
-        self.planner.ended("x", self.now - self.placed[job], cut=False)
+        self.planner.on_closed("x", self.now - self.placed[job], cut=False)
         del self.at[job]
 
     @rule(signal=st.sampled_from(list(Signal)))
     def hear(self, signal: Signal) -> None:
-        self.planner.pace.take(signal, self.now)
+        self.planner.pace.apply(signal, self.now)
 
     @rule(rounds=st.integers(1, 40))
     def run(self, rounds: int) -> None:
@@ -283,24 +291,26 @@
                     for job, at in self.at.items()
                     if at == place.id
                 ]
-                if (planned := self.planner.choose(self.now, sample, self.advise)) is not None:
-                    self.move(planned.job, planned.target)
+                if (planned := self.planner.choose_move(self.now, sample, self.advise)) is not None:
+                    self.move(planned.request_id, planned.target)
                     break
 
     def move(self, job: str, target: str) -> None:
-        ratio = self.planner.ratio
+        ratio = self.planner.imbalance
         assert target not in self.was.get(job, []), "there and back"
-        assert self.planner.moving and ratio > self.figures.stop_at
+        assert self.planner.moving and ratio > self.figures.stop_ratio
         self.was.setdefault(job, []).append(self.at[job])
-        assert self.now - self.placed[job] >= self.figures.young
-        assert self.now - self.moved_at.get(job, float("-inf")) >= self.figures.rest, "twice within its rest"
+        assert self.now - self.placed[job] >= self.figures.min_age
+        assert self.now - self.moved_at.get(job, float("-inf")) >= self.figures.move_cooldown, (
+            "twice within its rest"
+        )
         self.moved_at[job] = self.now
         self.at[job] = target
         self.placed[job] = self.now
 
     @invariant()
     def the_rate_stays_within_its_figures(self) -> None:
-        assert self.figures.pace.least <= self.planner.pace.rate <= self.figures.pace.most
+        assert self.figures.pace.min_rate <= self.planner.pace.rate <= self.figures.pace.max_rate
 
 
 Moving.TestCase.settings = settings(max_examples=40, stateful_step_count=30, deadline=None)
@@ -312,7 +322,7 @@
 def test_a_balanced_fleet_is_a_fixed_point_and_any_other_comes_to_balance(
     loads: list[int], seed: int
 ) -> None:
-    made = Planner(FIGURES, random.Random(seed))
+    made = Planner(SETTINGS, random.Random(seed))
     counts = {f"s{n}": load for n, load in enumerate(loads)}
     at = {f"s{n}-{m}": f"s{n}" for n, load in enumerate(loads) for m in range(load)}
     mean = sum(loads) / len(loads)
@@ -321,15 +331,15 @@
     for _ in range(3_000):
         now += 50.0
         if made.observe(now, places(**counts)) is not None:
-            if made.why is Why.BALANCED:
+            if made.reason is SkipReason.BALANCED:
                 break
             continue
         for source in made.sources():
             sample = [candidate(job, where) for job, where in at.items() if where == source.id]
-            if planned := made.choose(now, sample, lambda _: min(counts, key=counts.__getitem__)):
+            if planned := made.choose_move(now, sample, lambda _: min(counts, key=counts.__getitem__)):
                 counts[planned.source] -= 1
                 counts[planned.target] += 1
-                at[planned.job] = planned.target
+                at[planned.request_id] = planned.target
                 moves += 1
                 break
         else:
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -22,7 +22,7 @@
 from puffinford.fronts.channels import codec
 from puffinford.interface import ListKind, Server, ServerList
 from puffinford.operators import RebalanceSettings
-from puffinford.rebalance.service import Rebalancer, figures
+from puffinford.rebalance.service import Rebalancer, planner_settings
 from puffinford.standins.servers import LineServer, ServerProfile
 from puffinford.standins.trace import Trace
 from tests.harness import ChannelPeer, Harness, Peer, echo, harness, http_call, program, settings
@@ -30,7 +30,7 @@
 
 pytestmark = pytest.mark.anyio
 
-FIGURES = figures(
+SETTINGS = planner_settings(
     RebalanceSettings(
         enabled=True, settle=0.0, rest=60_000.0, start_rate=500.0, least_rate=100.0, most_rate=900.0
     )
@@ -38,8 +38,8 @@
 
 
 def rebalancer(here: Harness) -> Rebalancer:
-    made = Rebalancer(FIGURES, settings(), here.exchange, here.clock, random.Random(2))
-    made.planner.figures = replace(FIGURES, young=0.0)
+    made = Rebalancer(SETTINGS, settings(), here.exchange, here.clock, random.Random(2))
+    made.planner.settings = replace(SETTINGS, min_age=0.0)
     here.exchange.observer = made
     return made
 
@@ -167,7 +167,7 @@
                 assert isinstance(await channel.next(), codec.OpenConfirmation)
         await here.settle()
         here.clock.advance(5_000.0)
-        assert plan.round() == 0 and plan.planner.why.value == "too few connections to judge"
+        assert plan.round() == 0 and plan.planner.reason.value == "too few connections to judge"
         await here.server("s-2", echo)
         here.clock.advance(1_000.0)
         for _ in range(40):
@@ -189,10 +189,10 @@
                     back.append(await here.client(b"OPEN b%x %x c=price-lookup,d=2000,again=1" % (n, n)))
                     assert await back[-1].line() == b"UP r1\r\n"
         await here.settle()
-        assert len(back) == moved and plan.planner.landed == {"s-2": moved}
-        assert plan.planner.pace.counts.total() == moved
+        assert len(back) == moved and plan.planner.returns_by_server == {"s-2": moved}
+        assert plan.planner.pace.signal_counts.total() == moved
         here.clock.advance(3_000.0)
-        assert plan.round() == 0 and plan.planner.why.value == "in balance"
+        assert plan.round() == 0 and plan.planner.reason.value == "in balance"
 
 
 async def test_a_client_with_a_line_unanswered_is_left_alone() -> None:
@@ -214,14 +214,14 @@
         await anyio.sleep(0.02)
         here.clock.advance(50.0)
         assert plan.round() == 0
-        assert plan.planner.left_out.keys() == {type(plan.planner.why).BUSY}
+        assert plan.planner.skipped.keys() == {type(plan.planner.reason).BUSY}
 
 
 async def test_operators_watch_pause_and_limit(capsys: pytest.CaptureFixture[str], tmp_path: Path) -> None:
     async with harness() as here:
         plan = rebalancer(here)
         await here.server("s-1", echo)
-        port = here.management(extras={"rebalance": plan.answer})
+        port = here.management(extras={"rebalance": plan.handle_call})
         status, text = await http_call(port, "GET /admin/rebalance")
         assert status == 200 and json.loads(text)["servers"][0]["server"] == "s-1"
         for said, wanted in (
@@ -233,13 +233,13 @@
             ("POST /admin/rebalance/stop", 404),
         ):
             assert (await http_call(port, said))[0] == wanted, said
-        assert plan.planner.paused and plan.planner.pace.figures.most == 2.0 >= plan.planner.pace.rate
+        assert plan.planner.paused and plan.planner.pace.settings.max_rate == 2.0 >= plan.planner.pace.rate
         address = f"127.0.0.1:{port}"
         for words in (["show"], ["show", "--json"], ["start"], ["limit", "30/min"]):
             assert await anyio.to_thread.run_sync(main, ["rebalance", "--address", address, *words]) == 0
         assert "s-1" in capsys.readouterr().out and not plan.planner.paused
-        assert plan.planner.pace.figures.most == 0.5
-        plan.planner.configure(figures(RebalanceSettings()))
+        assert plan.planner.pace.settings.max_rate == 0.5
+        plan.planner.configure(planner_settings(RebalanceSettings()))
         assert (await http_call(port, "POST /admin/rebalance/start"))[0] == 409
         failed = await anyio.to_thread.run_sync(main, ["rebalance", "--address", "127.0.0.1:1", "show"])
         assert failed == 1
--- a/tests/test_relay_age.py
+++ b/tests/test_relay_age.py
@@ -25,7 +25,7 @@
 from puffinford.server_list.discovery import DiscoveryWatch
 from puffinford.stage.faults import Fault
 from puffinford.stage.links import Link
-from puffinford.state.recovery import ListGuard
+from puffinford.state.recovery import ListValidator
 
 pytestmark = pytest.mark.anyio
 TOLD = 6_000.0  # ms after which a change counts as told
@@ -75,7 +75,7 @@
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
         self.clock = SettableClock()
         self.tasks = tasks
-        self.guard = ListGuard()
+        self.guard = ListValidator()
         self.state: ServerState | None = None
         self.versions: list[int] = []
         self.services: list[RelayService] = []
@@ -120,7 +120,7 @@
     def _take(self, machines: ServerEntries | None) -> int | None:
         if machines is None:
             return self.guard.version
-        taken = self.guard.judge(machines)
+        taken = self.guard.validate(machines)
         if taken.entries is not None:
             self.versions.append(taken.entries.version)
             for machine in taken.entries.entries:
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -40,7 +40,7 @@
     Timer,
 )
 from puffinford.server_list.discovery import AGENT_RETRY_MS, MAX_CONCURRENT_CALLS, DiscoveryWatch
-from puffinford.state.recovery import ListGuard
+from puffinford.state.recovery import ListValidator
 from tests.harness import Peer, harness, opening
 from tests.harness import settings as told
 
@@ -303,10 +303,10 @@
             version, full, [ServerEntry(Server(f"s{n}", state=states[n]), "::1", 1) for n in shown]
         )
 
-    guard, balancer = ListGuard(), Balancer(told_here(), 1)
+    guard, balancer = ListValidator(), Balancer(told_here(), 1)
     draining, doubted = 0, False
     for step, (version, full) in enumerate([(0, True), *pushes]):
-        taken = guard.judge(told(version, full)).entries
+        taken = guard.validate(told(version, full)).entries
         if taken is not None:
             kind = ListKind.REPLACE if taken.full else ListKind.UPDATE
             balancer.handle(float(step), [ServerList(kind, [m.server for m in taken.entries])])
--- a/tests/test_staleness.py
+++ b/tests/test_staleness.py
@@ -18,7 +18,7 @@
 from puffinford.core.values import ServerEntries
 from puffinford.interface import ServerState
 from puffinford.server_list.discovery import MAX_CONCURRENT_CALLS, WATCH_WAIT_MS, DiscoveryWatch
-from puffinford.state.recovery import ListGuard
+from puffinford.state.recovery import ListValidator
 from tests.harness import Harness, Peer, harness, settings
 
 pytestmark = pytest.mark.anyio
@@ -121,7 +121,7 @@
         told = settings(list_on_request=not pushed, ask_within=10_000.0)
         self.clock = here.clock
         self.exchange = Exchange(told, seed, here.clock, {})
-        self.guard = ListGuard()
+        self.guard = ListValidator()
         self.service = Service(here.clock)
         self.here = here
         self.pushed, self.seed = pushed, seed
@@ -130,7 +130,7 @@
         if machines is None:
             self.exchange.take_list(None)
             return self.guard.version
-        taken = self.guard.judge(machines)
+        taken = self.guard.validate(machines)
         if taken.entries is not None:
             self.exchange.take_list(taken.entries)
         return taken.version
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -19,9 +19,9 @@
 from puffinford.standins.discovery import Discovery
 from puffinford.standins.servers import LineServer, ServerProfile
 from puffinford.standins.trace import Trace
-from puffinford.state.recovery import Start, merge
+from puffinford.state.recovery import StartState, build_start_state
 from puffinford.state.store import inspect
-from puffinford.state.trust import Weights
+from puffinford.state.trust import TrustSettings
 from tests.harness import Harness, Peer, Program, answering, echo, harness, http_call, opening, program
 from tests.test_program import FACTS
 
@@ -199,9 +199,9 @@
     await peer.line()
 
 
-def start_of(here: Harness, machines: list[ServerEntry], old_ms: float) -> Start:
+def start_of(here: Harness, machines: list[ServerEntry], old_ms: float) -> StartState:
     known = ServerEntries(1, True, machines)
-    return merge(None, known, here.clock.now(), 0.0, Weights(), old_ms)
+    return build_start_state(None, known, here.clock.now(), 0.0, TrustSettings(), old_ms)
 
 
 @pytest.mark.parametrize("old_ms", [60_000.0, 3_600_000.0, 90_000_000.0], ids=["1min", "1h", "25h"])
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -24,9 +24,9 @@
 from puffinford.interface import Health, Server, ServerState
 from puffinford.operators.schema import StateSettings
 from puffinford.state import records, store
-from puffinford.state.keeper import Keeper
+from puffinford.state.keeper import StateKeeper
 from puffinford.state.records import LIST_KEY, HealthRecord, ListRecord, ServerRecord, encode, server_key
-from puffinford.state.store import Store, StoreFailed, StoreFull, Verdict, open_store
+from puffinford.state.store import Store, StoreError, StoreFullError, Verdict, open_store
 from tests.harness import program
 from tests.processes import SEAM, FaultPlan
 from tests.test_program import FACTS
@@ -50,9 +50,9 @@
     return made
 
 
-def keeper(path: Path, learned: list[Health] | None = None, **settings: float) -> Keeper:
+def keeper(path: Path, learned: list[Health] | None = None, **settings: float) -> StateKeeper:
     told = StateSettings(**settings)  # type: ignore[arg-type]
-    return Keeper(told, (path, False), SettableClock(), lambda: learned or [], lambda _: None)
+    return StateKeeper(told, (path, False), SettableClock(), lambda: learned or [], lambda _: None)
 
 
 def listed(*idents: str, version: int = 1, full: bool = True, state: str = "live") -> ServerEntries:
@@ -90,10 +90,10 @@
         writer.kill()
         writer.wait()
         writer.stdout.close()
-        made, renewal = open_store(path, SIZE, durable=kind == "durable")
+        made, rebuild = open_store(path, SIZE, durable=kind == "durable")
         stored = made.read()
         made.close()
-        assert renewal is None and not stored.rotten
+        assert rebuild is None and not stored.rejected
         assert {record.version for record, _ in stored.servers.values()} <= {stored.version}
         assert len(stored.servers) in (0, 50) and stored.version >= min(last, 1)
         last = stored.version
@@ -113,14 +113,14 @@
             if rotten:
                 rotten[rng.randrange(len(rotten))] ^= rng.randrange(1, 256)
         path.write_bytes(rotten)
-        made, renewal = open_store(path, SIZE, durable=True)
+        made, rebuild = open_store(path, SIZE, durable=True)
         stored = made.read()
         assert all(record.id.startswith("s-") and record.port == 80 for record, _ in stored.servers.values())
         assert made.write(dict([entry("s-new")])) > 0, "it can be written whatever was in it"
         made.close()
-        verdicts.add(renewal.verdict if renewal else None)
-        if renewal and renewal.verdict is Verdict.UNREADABLE:
-            assert Path(renewal.aside).exists() and not stored.servers
+        verdicts.add(rebuild.verdict if rebuild else None)
+        if rebuild and rebuild.verdict is Verdict.UNREADABLE:
+            assert Path(rebuild.quarantined_path).exists() and not stored.servers
     assert Verdict.UNREADABLE in verdicts and len(verdicts) > 1
 
 
@@ -129,11 +129,11 @@
     for at in range(len(value)):
         changed = bytearray(value)
         changed[at] ^= 0x41
-        with pytest.raises(records.BadRecord):
+        with pytest.raises(records.InvalidRecord):
             records.decode(key, bytes(changed), ServerRecord)
-    with pytest.raises(records.BadRecord):
+    with pytest.raises(records.InvalidRecord):
         records.decode(server_key("s-2"), value, ServerRecord)
-    with pytest.raises(records.BadRecord):
+    with pytest.raises(records.InvalidRecord):
         records.decode(key, encode(key, ListRecord(1, 2), NOW), ServerRecord)
 
 
@@ -143,11 +143,11 @@
     key, _ = entry("s-3")
     made.write({key: encode(key, ServerRecord("s-3", "h", 1, "lines", "active", 1), NOW, schema=9)})
     made.close()
-    made, renewal = open_store(path, SIZE, durable=True)
-    assert renewal is not None and renewal.verdict is Verdict.NEWER and "schema 9" in renewal.why
+    made, rebuild = open_store(path, SIZE, durable=True)
+    assert rebuild is not None and rebuild.verdict is Verdict.NEWER and "schema 9" in rebuild.reason
     assert not made.read().servers
     made.close()
-    assert len(store.inspect(Path(renewal.aside)).servers) == 19
+    assert len(store.inspect(Path(rebuild.quarantined_path)).servers) == 19
 
 
 def test_one_process_writes_and_the_next_takes_over(tmp_path: Path) -> None:
@@ -157,15 +157,15 @@
         import sys
         from pathlib import Path
         from tests.test_store import entry
-        from puffinford.state.store import StoreFailed, open_store
+        from puffinford.state.store import StoreError, open_store
         made, _ = open_store(Path(sys.argv[1]), 1 << 20, durable=False)
-        assert not made.writes and not made.claim() and len(made.read().servers) == 20
+        assert not made.is_writer and not made.acquire_write_lock() and len(made.read().servers) == 20
         try:
             made.write(dict([entry("x")]))
-        except StoreFailed:
+        except StoreError:
             print("reads", flush=True)
         sys.stdin.readline()
-        assert made.claim() and made.write(dict([entry("x")]))
+        assert made.acquire_write_lock() and made.write(dict([entry("x")]))
         print("writes", flush=True)
         sys.stdin.readline()
     """
@@ -173,14 +173,14 @@
     assert second.stdin is not None and second.stdout is not None
     assert second.stdout.readline() == b"reads\n"
     first.write(dict([entry("y")]))
-    first.let_go()
+    first.release_write_lock()
     second.stdin.write(b"\n")
     second.stdin.flush()
     assert second.stdout.readline() == b"writes\n"
-    assert {"x", "y"} <= first.read().servers.keys() and not first.claim()
+    assert {"x", "y"} <= first.read().servers.keys() and not first.acquire_write_lock()
     second.kill()
     second.wait()
-    assert first.claim(), "a killed writer's lock goes with it"
+    assert first.acquire_write_lock(), "a killed writer's lock goes with it"
     first.close()
     for pipe in (second.stdin, second.stdout):
         pipe.close()
@@ -200,7 +200,7 @@
     kept._commit_now()
     assert kept._store is not None
     stored = kept._store.read()
-    assert stored.boot not in ("", boot) and stored.ahead == kept._timeline.ahead
+    assert stored.boot_id not in ("", boot) and stored.monotonic_offset == kept._timeline.monotonic_offset
     kept._store.close()
 
 
@@ -256,7 +256,7 @@
             os.close(lock)
             await rounds()
         await rounds()
-        assert second._store is not None and second._store.writes
+        assert second._store is not None and second._store.is_writer
         servers = second._store.read().servers.values()
         assert [record.id for record, _ in servers if record.state != "left"] == ["x-1"]
         tasks.cancel_scope.cancel()
@@ -288,7 +288,7 @@
         assert kept._store is not None
         stored = kept._store.read()
         there = {ident for ident, (record, _) in stored.servers.items() if record.state != "left"}
-        assert there == {"s-5", "s-6", "s-7"} and stored.version == 6 and not stored.rotten
+        assert there == {"s-5", "s-6", "s-7"} and stored.version == 6 and not stored.rejected
         tasks.cancel_scope.cancel()
     assert [record.getMessage() for record in caplog.records].count("state not kept") == 1
 
@@ -296,11 +296,11 @@
 def test_a_store_never_passes_its_size_and_goes_on_when_it_is_full(tmp_path: Path) -> None:
     path = tmp_path / "state"
     made, _ = open_store(path, 256 << 10, durable=False)
-    with pytest.raises(StoreFull):
+    with pytest.raises(StoreFullError):
         made.write(dict(entry(f"server-{n:06}") for n in range(5_000)))
     for turn in range(300):
         made.write(dict(entry(f"server-{n:03}", version=turn) for n in range(100)))
-    assert made.used() <= 256 << 10 and path.stat().st_size <= 256 << 10
+    assert made.used_bytes() <= 256 << 10 and path.stat().st_size <= 256 << 10
     assert len(made.read().servers) == 100
     made.close()
 
@@ -333,7 +333,7 @@
     out = done.communicate()[0].decode()
     assert done.returncode == 0 and out.splitlines()[-1] == "went on"
     assert out.count("state not kept") == 1
-    assert not store.inspect(tmp_path / "state").rotten, "the last commit stays"
+    assert not store.inspect(tmp_path / "state").rejected, "the last commit stays"
 
 
 @pytest.mark.skipif(os.geteuid() != 0, reason="root alone can give rights away")
@@ -346,11 +346,11 @@
     code = """
         import os, sys
         from pathlib import Path
-        from puffinford.state.store import StoreFailed, open_store
+        from puffinford.state.store import StoreError, open_store
         os.seteuid(65534)
         try:
             open_store(Path(sys.argv[1]), 1 << 20, durable=True)
-        except StoreFailed as exc:
+        except StoreError as exc:
             print(exc)
     """
     done = python(code, str(tmp_path / "closed/state"), stdout=subprocess.PIPE)
@@ -376,7 +376,7 @@
     assert kept._store is not None
     stored = kept._store.read()
     states = {ident: record.state for ident, (record, _) in stored.servers.items()}
-    assert states == {"s-1": "active", "s-2": "active", "s-3": "left"} and stored.whole
+    assert states == {"s-1": "active", "s-2": "active", "s-3": "left"} and stored.is_complete
     assert stored.version == 3 and set(stored.health) == {"s-1"}
     learned.clear()
     kept._clock.advance(61_000.0)  # type: ignore[attr-defined]
@@ -416,7 +416,7 @@
     kept._commit_now()
     assert kept._store is not None
     stored = kept._store.read()
-    assert set(stored.servers) == {"s-1", "s-2", "s-3", "s-4"} and stored.whole and stored.version == 5
+    assert set(stored.servers) == {"s-1", "s-2", "s-3", "s-4"} and stored.is_complete and stored.version == 5
     kept._store.close()
     again = keeper(path)
     begun = again.start(listed("s-1", version=2))
@@ -431,10 +431,10 @@
     """Under the same name and place its servers were the start list of whoever came next."""
     path = tmp_path / "state"
 
-    def of(*classes: str) -> Keeper:
+    def of(*classes: str) -> StateKeeper:
         learn: list[Health] = []
         told, clock = StateSettings(), SettableClock()
-        return Keeper(told, (path, False), clock, list, learn.extend, classes=frozenset(classes))
+        return StateKeeper(told, (path, False), clock, list, learn.extend, classes=frozenset(classes))
 
     first = of("tills", "prices")
     first.start(listed("s-1", "s-2", version=9))
@@ -449,7 +449,7 @@
     other._commit_now()
     assert other._store is not None
     stored = other._store.read()
-    assert set(stored.servers) == {"s-7"} and stored.owner is not None and stored.whole
+    assert set(stored.servers) == {"s-7"} and stored.owner is not None and stored.is_complete
     assert stored.owner.classes == ["parcels"]
     other._store.close()
     grown = of("parcels", "letters")  # a class more is the same deployment
@@ -462,13 +462,13 @@
     path = tmp_path / "state"
     heard: list[records.PaceRecord] = []
     pace = records.PaceRecord(2.5, [(7, NOW, ("s-1",), "s-2")])
-    old = Keeper(
+    old = StateKeeper(
         StateSettings(), (path, False), SettableClock(), list, lambda _: None, lambda _: pace, lambda *_: None
     )
-    old.let_go()
+    old.release_store()
     assert old._store is not None
     old._store.close()  # one process may not open a store twice
-    new = Keeper(
+    new = StateKeeper(
         StateSettings(),
         (path, False),
         SettableClock(),
@@ -479,8 +479,8 @@
     )
     assert new._store is not None
     new.start(None)
-    new._store.let_go()
-    assert new._claim(new._store) and heard == [pace, pace]
+    new._store.release_write_lock()
+    assert new._become_writer(new._store) and heard == [pace, pace]
     new._store.close()
 
 
@@ -500,7 +500,7 @@
     assert code == 0 and "3 listed" in out and "down after 2 failures" in out
     assert run("show", "--file", str(path), "--json")[1].count('"server"') == 3
     assert run("export", "--file", str(path), text) == (0, "")
-    with store.writing(path):
+    with store.exclusive_writer(path):
         assert run("import", "--file", str(path), text)[0] == 1, "a balancer writes there"
         assert run("compact", "--file", str(path))[0] == 1
     assert run("import", "--file", str(other), text)[0] == 0
@@ -524,19 +524,19 @@
     pairs = dict(entry(f"gone-{n:05}", "left") for n in range(8_000))
     made.write(pairs | dict([whole(50), *(entry(f"z-{n}") for n in range(50))]))
     made.close()
-    made, renewal = open_store(path, 512 << 10, durable=True)
+    made, rebuild = open_store(path, 512 << 10, durable=True)
     stored = made.read()
-    assert renewal is not None and renewal.verdict is Verdict.FULL
-    assert stored.whole and 0 < len(stored.servers) < 8_000
+    assert rebuild is not None and rebuild.verdict is Verdict.FULL
+    assert stored.is_complete and 0 < len(stored.servers) < 8_000
     made.close()
 
 
 def test_a_store_that_another_kind_of_file_took_the_place_of(tmp_path: Path) -> None:
     path = tmp_path / "state"
     path.write_text("not a store at all")
-    made, renewal = open_store(path, SIZE, durable=True)
-    assert renewal is not None and renewal.verdict is Verdict.UNREADABLE
+    made, rebuild = open_store(path, SIZE, durable=True)
+    assert rebuild is not None and rebuild.verdict is Verdict.UNREADABLE
     made.close()
     path.write_text("not a store at all")
-    with pytest.raises(StoreFailed):
+    with pytest.raises(StoreError):
         open_store(path, SIZE, durable=False)
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -9,10 +9,17 @@
 from puffinford.interface import Health, Server, ServerState
 from puffinford.state import trust
 from puffinford.state.records import HealthRecord, ServerRecord, Stored
-from puffinford.state.recovery import ListGuard, merge, to_health, to_health_record, to_machine, to_record
+from puffinford.state.recovery import (
+    ListValidator,
+    build_start_state,
+    to_health,
+    to_health_record,
+    to_server_entry,
+    to_server_record,
+)
 
 LIVE, DRAINING, GONE = ServerState.LIVE, ServerState.DRAINING, ServerState.GONE
-WEIGHTS = trust.Weights()
+TRUST_SETTINGS = trust.TrustSettings()
 NOW = 1_800_000_000_000.0
 HOUR = 3_600_000.0
 times = st.floats(0, 4 * 86_400_000.0)
@@ -35,23 +42,28 @@
 @given(times, times)
 def test_trust_falls_with_age_and_so_do_its_terms(one: float, other: float) -> None:
     younger, older = sorted((one, other))
-    assert 1.0 >= trust.trust(younger, WEIGHTS) >= trust.trust(older, WEIGHTS) >= 0.0
-    before, after = trust.terms(younger, 40, WEIGHTS), trust.terms(older, 40, WEIGHTS)
-    assert before.patience >= after.patience >= WEIGHTS.patience_old - 1e-9
-    assert (before.most or 99) >= (after.most or 99) >= 1
+    assert (
+        1.0 >= trust.trust_level(younger, TRUST_SETTINGS) >= trust.trust_level(older, TRUST_SETTINGS) >= 0.0
+    )
+    before, after = (
+        trust.attempt_limits(younger, 40, TRUST_SETTINGS),
+        trust.attempt_limits(older, 40, TRUST_SETTINGS),
+    )
+    assert before.attempt_timeout >= after.attempt_timeout >= TRUST_SETTINGS.old_list_attempt_timeout - 1e-9
+    assert (before.max_attempts or 99) >= (after.max_attempts or 99) >= 1
 
 
 def test_a_minute_an_hour_and_a_day() -> None:
-    assert trust.terms(60_000.0, 10, WEIGHTS) == trust.Terms(0, 400.0)
-    hour = trust.terms(HOUR, 10, WEIGHTS)
-    assert hour.most == 2 and 200.0 < hour.patience < 300.0
-    assert trust.terms(24 * HOUR, 10, WEIGHTS).most == 1
+    assert trust.attempt_limits(60_000.0, 10, TRUST_SETTINGS) == trust.AttemptLimits(0, 400.0)
+    hour = trust.attempt_limits(HOUR, 10, TRUST_SETTINGS)
+    assert hour.max_attempts == 2 and 200.0 < hour.attempt_timeout < 300.0
+    assert trust.attempt_limits(24 * HOUR, 10, TRUST_SETTINGS).max_attempts == 1
 
 
 def test_a_clock_that_was_set_back_makes_a_list_old_not_new() -> None:
     assert trust.age(NOW + 2_000.0, NOW) == 0.0
     assert trust.age(NOW + HOUR, NOW) == HOUR
-    start = merge(kept(5, -2 * HOUR, a="active"), None, NOW, 0.0, WEIGHTS, 0.0)
+    start = build_start_state(kept(5, -2 * HOUR, a="active"), None, NOW, 0.0, TRUST_SETTINGS, 0.0)
     assert (start.age, start.restored.max_attempts) == (HOUR, 2)
 
 
@@ -65,11 +77,16 @@
         capacity_estimate=5.0,
         capacity_estimated_at=NOW,
     )
-    soon, later = trust.weigh(slow, NOW + 2_000.0, WEIGHTS), trust.weigh(slow, NOW + 20_000.0, WEIGHTS)
+    soon, later = (
+        trust.discard_expired(slow, NOW + 2_000.0, TRUST_SETTINGS),
+        trust.discard_expired(slow, NOW + 20_000.0, TRUST_SETTINGS),
+    )
     assert soon is not None and soon.slow_until and soon.capacity_estimate == 5.0
     assert later is not None and not later.slow_until and later.capacity_estimate == 5.0
-    assert trust.weigh(slow, NOW + 120_000.0, WEIGHTS) is None
-    assert trust.weigh(Health("a", NOW + HOUR, failures=2), NOW, WEIGHTS) is None, "of a time to come"
+    assert trust.discard_expired(slow, NOW + 120_000.0, TRUST_SETTINGS) is None
+    assert trust.discard_expired(Health("a", NOW + HOUR, failures=2), NOW, TRUST_SETTINGS) is None, (
+        "of a time to come"
+    )
 
 
 @given(
@@ -87,7 +104,7 @@
     assert (back.failures, back.capacity_estimate, back.observed_at) == (failures, capacity_estimate, 3e12)
     assert abs(back.retry_at - retry) < 100.0 and isinstance(record, HealthRecord)
     machine = ServerEntry(Server("a", "z", "k", 3, DRAINING, 2.0, float(started)), "::1", 8, "channels")
-    again = to_machine(to_record(machine, 4, offset), offset, float("inf"))
+    again = to_server_entry(to_server_record(machine, 4, offset), offset, float("inf"))
     assert (
         again is not None
         and again.server.state is DRAINING
@@ -98,56 +115,59 @@
 def test_the_newer_side_counts_entry_by_entry_and_nothing_gone_comes_back() -> None:
     stored = kept(7, 20_000.0, a="active", b="leaving", c="left")
     older = listed(6, a=LIVE, b=LIVE, c=LIVE, d=LIVE)
-    start = merge(stored, older, NOW, 0.0, WEIGHTS, 0.0)
+    start = build_start_state(stored, older, NOW, 0.0, TRUST_SETTINGS, 0.0)
     states = {m.server.id: m.server.state for m in start.restored.entries.entries}
     assert states == {"a": LIVE, "b": DRAINING} and start.restored.unverified == {"a"}
     assert (start.source, start.version) == ("store", 7)
-    newer = merge(stored, listed(8, a=DRAINING, c=LIVE), NOW, 0.0, WEIGHTS, 0.0)
+    newer = build_start_state(stored, listed(8, a=DRAINING, c=LIVE), NOW, 0.0, TRUST_SETTINGS, 0.0)
     states = {m.server.id: m.server.state for m in newer.restored.entries.entries}
     assert states == {"a": DRAINING, "c": LIVE} and (newer.source, newer.version) == ("known", 8)
 
 
 def test_a_list_of_seconds_ago_is_used_as_if_told_now() -> None:
     """Short claims at servers busy with everybody's return were cut, and made again, for nothing."""
-    young = merge(kept(7, 9_000.0, a="active"), None, NOW, 0.0, WEIGHTS, 0.0)
-    older = merge(kept(7, 11_000.0, a="active"), None, NOW, 0.0, WEIGHTS, 0.0)
+    young = build_start_state(kept(7, 9_000.0, a="active"), None, NOW, 0.0, TRUST_SETTINGS, 0.0)
+    older = build_start_state(kept(7, 11_000.0, a="active"), None, NOW, 0.0, TRUST_SETTINGS, 0.0)
     assert not young.restored.unverified and older.restored.unverified == {"a"}
 
 
 def test_a_store_that_lost_an_entry_asks_for_the_whole_list() -> None:
-    assert merge(kept(7, 0.0, a="active"), None, NOW, 0.0, WEIGHTS, 0.0).version == 7
-    assert merge(kept(7, 0.0, lost=1, a="active"), None, NOW, 0.0, WEIGHTS, 0.0).version is None
-    assert merge(None, None, NOW, 0.0, WEIGHTS, 0.0).source == "nothing"
+    assert build_start_state(kept(7, 0.0, a="active"), None, NOW, 0.0, TRUST_SETTINGS, 0.0).version == 7
+    assert (
+        build_start_state(kept(7, 0.0, lost=1, a="active"), None, NOW, 0.0, TRUST_SETTINGS, 0.0).version
+        is None
+    )
+    assert build_start_state(None, None, NOW, 0.0, TRUST_SETTINGS, 0.0).source == "nothing"
 
 
 def test_an_older_answer_brings_its_bad_news_at_once_and_the_rest_when_said_twice() -> None:
-    guard = ListGuard(9, listed(9, a=LIVE, b=LIVE, c=LIVE).entries)
-    first = guard.judge(listed(2, a=LIVE, b=DRAINING, x=LIVE))
+    guard = ListValidator(9, listed(9, a=LIVE, b=LIVE, c=LIVE).entries)
+    first = guard.validate(listed(2, a=LIVE, b=DRAINING, x=LIVE))
     assert first.version is None and first.entries is not None and not first.entries.full
     assert {m.server.id: m.server.state for m in first.entries.entries} == {"b": DRAINING, "c": GONE}
-    second = guard.judge(listed(2, a=LIVE, b=DRAINING, x=LIVE))
+    second = guard.validate(listed(2, a=LIVE, b=DRAINING, x=LIVE))
     assert second.version == 2 and second.entries is not None and len(second.entries.entries) == 3
-    assert guard.judge(listed(3, False, x=DRAINING)).version == 3
+    assert guard.validate(listed(3, False, x=DRAINING)).version == 3
 
 
 def test_changes_that_cannot_be_placed_ask_for_the_whole_list() -> None:
-    guard = ListGuard(9, listed(9, a=LIVE).entries)
-    doubted = guard.judge(listed(4, False, a=LIVE))
+    guard = ListValidator(9, listed(9, a=LIVE).entries)
+    doubted = guard.validate(listed(4, False, a=LIVE))
     assert (doubted.entries, doubted.version, guard.version) == (None, None, None)
-    assert guard.judge(listed(10, a=LIVE)).version == 10 and guard.version == 10
+    assert guard.validate(listed(10, a=LIVE)).version == 10 and guard.version == 10
     guard.moved()
-    assert guard.judge(listed(1, False, a=LIVE)).entries is None, "changes against another's list"
-    assert guard.judge(listed(1, a=LIVE)).version == 1
+    assert guard.validate(listed(1, False, a=LIVE)).entries is None, "changes against another's list"
+    assert guard.validate(listed(1, a=LIVE)).version == 1
 
 
 def test_an_answer_at_odds_with_itself_is_told_the_worse() -> None:
     machines = listed(1, a=DRAINING).entries + listed(1, a=LIVE, b=LIVE).entries
-    taken = ListGuard().judge(ServerEntries(1, True, machines)).entries
+    taken = ListValidator().validate(ServerEntries(1, True, machines)).entries
     assert taken is not None
     assert {m.server.id: m.server.state for m in taken.entries} == {"a": DRAINING, "b": LIVE}
 
 
 def test_a_list_that_shares_nothing_with_the_stored_one_replaces_it() -> None:
-    guard = ListGuard(3, listed(3, a=LIVE).entries)
-    taken = guard.judge(listed(4, x=LIVE, y=LIVE))
+    guard = ListValidator(3, listed(3, a=LIVE).entries)
+    taken = guard.validate(listed(4, x=LIVE, y=LIVE))
     assert taken.entries is not None and taken.entries.full and taken.version == 4
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -14,7 +14,7 @@
 from puffinford.core.start_times import SAME_START_TOLERANCE_MS, StartTimes
 from puffinford.server_list.entries import parse_server_list
 from puffinford.state.records import ServerRecord
-from puffinford.state.recovery import to_machine
+from puffinford.state.recovery import to_server_entry
 from tests.processes import site, unix_ms
 
 HOUR = 3_600.0
@@ -133,5 +133,5 @@
 def test_a_kept_start_is_never_in_the_future() -> None:
     """The wall clock went back between two processes: the server was cold for as long."""
     record = ServerRecord("s-1", "127.0.0.1", 1, "lines", "active", 1, "", "", 0, 1.0, 1e9 + 3.6e6)
-    machine = to_machine(record, 0.0, 1e9)
+    machine = to_server_entry(record, 0.0, 1e9)
     assert machine is not None and machine.server.started == 1e9
