--- a/benchmarks/start/costs.py
+++ b/benchmarks/start/costs.py
@@ -40,8 +40,8 @@
         clock = Clock()
         told = StateSettings(size=64 << 20)
         kept = StateKeeper(told, place, clock, list, lambda _: None)
-        kept.note_list(ServerEntries(1, True, machines(count)))
-        kept._commit_now()
+        kept.record_list(ServerEntries(1, True, machines(count)))
+        kept._commit_blocking()
         assert kept._store is not None
         kept._store.close()
         exchange = _exchange(clock)
@@ -74,7 +74,7 @@
             assert taken.entries is not None
             exchange.take_list(taken.entries)
             middle = time.thread_time()
-            kept.note_list(taken.entries)
+            kept.record_list(taken.entries)
             end = time.thread_time()
             spent["store"] += end - middle
             spent["all"] += end - began
@@ -116,14 +116,14 @@
         times = []
         for turn in range(runs):
             state = ServerState.DRAINING if turn % 2 else ServerState.LIVE
-            kept.note_list(
+            kept.record_list(
                 ServerEntries(
                     turn,
                     False,
                     [ServerEntry(Server(f"s-{n}", state=state), "127.0.0.1", n) for n in range(pairs)],
                 )
             )
-            due, kept._due = kept._due, {}
+            due, kept._pending = kept._pending, {}
             times.append(kept._store.write(due))
         kept._store.close()
         return sorted(times)[runs // 2]
--- a/puffinford/serve.py
+++ b/puffinford/serve.py
@@ -90,7 +90,7 @@
             starts,
         )
         start = self._keeper.start(config.known)
-        self._list = ListClient(exchange, start, clock, self._keeper.note_list, starts)
+        self._list = ListClient(exchange, start, clock, self._keeper.record_list, starts)
         if config.inventory is not None:
             self._list.read(config.inventory)
         else:
--- a/puffinford/state/__init__.py
+++ b/puffinford/state/__init__.py
@@ -1,1 +1,1 @@
-"""What outlives the process: the machine list and what was learned of each server, weighed by age."""
+"""State that survives the process: the server list and the health learned of each server, valued by age."""
--- a/puffinford/state/keeper.py
+++ b/puffinford/state/keeper.py
@@ -1,7 +1,6 @@
-"""Keeps the store up to date and takes from it at the start: the thin shell round `trust` and `recovery`.
+"""Persists server lists, learned health and rebalancing progress, and restores them at the start.
 
-It hears each list that is taken and asks the exchange what was learned; changes are gathered and written
-together, never faster than the settings say, but for bad news of servers, which are written at once.
+Changes are written in batches, at the interval in the settings; drains and removals are written at once.
 """
 
 from __future__ import annotations
@@ -39,17 +38,17 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LOOP_COMMIT_MS = 1.0  # ms that a commit may hold the loop; a slower one sends the next to a thread
-PUBLISH_INTERVAL_MS = 100.0  # what was learned is written so often while a later version is starting
-CONFIRM_INTERVAL_MS = 5_000.0  # the list's time is written no more often while nothing changes
-ERROR_LOG_INTERVAL_MS = 60_000.0  # a store that stays full or broken is a line in the log this often
-FORGET_INTERVAL_MS = 60_000.0  # between looks for servers that left long ago
+MAX_LOOP_COMMIT_MS = 1.0  # after a slower commit on the event loop, the next runs in a thread
+PUBLISH_INTERVAL_MS = 100.0  # between writes of learned health while a later version is starting
+CONFIRM_INTERVAL_MS = 5_000.0  # between writes of confirmation times while nothing else changes
+ERROR_LOG_INTERVAL_MS = 60_000.0  # between log lines about a store that stays full or broken
+FORGET_INTERVAL_MS = 60_000.0  # between removals of servers that left long ago
 
 
 def store_file(settings: StateSettings, shared: str | None, balancer: str) -> tuple[Path, bool] | None:
-    """The store's file, and whether it is kept for good; None where there is to be none.
+    """Return the path of the store and whether it is durable; None if no store is configured.
 
-    `shared` is the directory that the versions of a balancer share.
+    `shared` is the directory shared by the versions of a balancer.
     """
     directory, durable = (settings.directory, True) if settings.directory else (shared, False)
     if not directory or not (durable or settings.versions):
@@ -59,60 +58,61 @@
 
 
 def trust_settings(settings: StateSettings) -> trust.TrustSettings:
-    """The operators' figures for trust."""
+    """Return the trust settings in the operators' settings."""
     return trust.TrustSettings(
         settings.fresh, settings.distrust, settings.patience, settings.patience_old, settings.learned_for
     )
 
 
 class StateKeeper:
-    """`learned` tells what the module knows of the servers, `learn` hands it what others knew."""
+    """Keeps the store of one balancer up to date; `run` writes until cancelled."""
 
     def __init__(
         self,
         settings: StateSettings,
-        place: tuple[Path, bool] | None,
+        location: tuple[Path, bool] | None,
         clock: Clock,
-        learned: Callable[[], list[Health]],
-        learn: Callable[[list[Health]], None],
-        pace: Callable[[float], PaceRecord | None] = lambda _: None,
-        go_on: Callable[[PaceRecord, float], None] = lambda *_: None,
+        read_health: Callable[[], list[Health]],
+        merge_health: Callable[[list[Health]], None],
+        read_pace: Callable[[float], PaceRecord | None] = lambda _: None,
+        restore_pace: Callable[[PaceRecord, float], None] = lambda *_: None,
         classes: frozenset[str] = frozenset(),
         starts: StartTimes | None = None,
     ) -> None:
-        """`pace` tells how far rebalancing has come, `go_on` hands it what another process had come to; both
-        are given the store's time less the host's, in ms.
+        """`location` is the result of `store_file`.
 
-        `classes` are those of the deployment: a store of one that shares none is not used. `starts` is shared
-        with whatever reads lists.
+        `read_health` returns the health known to the decision module, `merge_health` adds to it.
+        `read_pace` returns the progress of rebalancing, `restore_pace` restores that of another process; both
+        take the store's time minus the process clock's, in ms. `classes` are those of the deployment: a store
+        of a deployment that has none of them is not used. `starts` is shared with the readers of lists.
         """
         self._starts = starts or StartTimes(clock)
         self._timeline = Timeline(clock)
         self._classes = classes
-        self._foreign = False  # the store is another deployment's
+        self._is_foreign = False  # the store belongs to another deployment
         self._settings = settings
         self._clock = clock
-        self._learned = learned
-        self._learn = learn
-        self._pace = pace
-        self._go_on = go_on
-        self._pace_at = float("-inf")
+        self._read_health = read_health
+        self._merge_health = merge_health
+        self._read_pace = read_pace
+        self._restore_pace = restore_pace
+        self._pace_collected_at = float("-inf")
         self._store: Store | None = None
-        self._durable = place is not None and place[1]
-        if place is not None:
-            self._open(*place)
+        self._durable = location is not None and location[1]
+        if location is not None:
+            self._open(*location)
         self._list: ListRecord | None = None
-        self._confirmed = 0.0  # Unix ms
-        self._written_at = 0.0  # Unix ms of the list's time as it was last written
-        self._servers: dict[str, ServerRecord] = {}  # as they are written, or will be
-        self._left: dict[str, float] = {}  # servers that left, and when, in Unix ms
-        self._health: dict[str, Health] = {}  # as it is written
-        self._due: dict[bytes, bytes | None] = {}
-        self._urgent = anyio.Event()
-        self._slow_commits = self._durable
-        self._told_at = self._gathered_at = float("-inf")
-        self._forget_at = 0.0
-        self._took_over = False
+        self._confirmed_at = 0.0  # Unix ms
+        self._list_written_at = 0.0  # Unix ms
+        self._servers: dict[str, ServerRecord] = {}  # as stored or pending
+        self._left_at: dict[str, float] = {}  # Unix ms at which servers left
+        self._health: dict[str, Health] = {}  # as stored or pending
+        self._pending: dict[bytes, bytes | None] = {}
+        self._write_soon = anyio.Event()
+        self._commits_in_thread = self._durable
+        self._error_logged_at = self._health_collected_at = float("-inf")
+        self._next_forget_at = 0.0
+        self._has_learned_from_writer = False
 
     def _open(self, path: Path, durable: bool) -> None:
         rebuild: Rebuild | None = None
@@ -121,21 +121,21 @@
         except StoreError as exc:
             log.error("state unusable", extra={"file": str(path), "error": str(exc)})
         if rebuild is not None:
-            told = {"file": str(path), "verdict": rebuild.verdict.name.lower(), "why": rebuild.reason}
+            fields = {"file": str(path), "verdict": rebuild.verdict.name.lower(), "why": rebuild.reason}
             log.warning(
                 "state renewed",
-                extra={**told, "aside": rebuild.quarantined_path} if rebuild.quarantined_path else told,
+                extra={**fields, "aside": rebuild.quarantined_path} if rebuild.quarantined_path else fields,
             )
 
     @property
     def _offset(self) -> float:
-        """The store's time less the host's, in ms."""
+        """The store's time minus the process clock's, in ms."""
         return self._timeline.offset
 
-    # The start
+    # Restoring
 
     def start(self, known: ServerEntries | None) -> recovery.StartState:
-        """What to go by until discovery speaks."""
+        """Return the state to start with, from the store and the configuration's `known` list."""
         stored: Stored | None = None
         if self._store is not None:
             try:
@@ -143,81 +143,81 @@
             except StoreError as exc:
                 log.error("state unusable", extra={"file": str(self._store.path), "error": str(exc)})
         if stored is not None and stored.belongs_to_other_deployment(self._classes):
-            self._refuse(stored)
+            self._discard_foreign_state(stored)
             stored = None
         if stored is not None:
             resumed = self._timeline.resume(stored)
             for text in stored.rejected[:10]:
                 log.warning("state record rejected", extra={"error": text})
-            self._take_in(stored)
+            self._adopt_stored(stored)
             if resumed:
                 known = self._restore_starts(known)
             if stored.pace is not None:
-                self._go_on(stored.pace, self._offset)
+                self._restore_pace(stored.pace, self._offset)
         if self._store is not None and (stored is None or stored.owner is None):
-            self._own()
-        told = self._settings
-        begun = recovery.build_start_state(
-            stored, known, self._clock.now(), self._offset, trust_settings(told), told.known_age
+            self._write_owner()
+        settings = self._settings
+        start_state = recovery.build_start_state(
+            stored, known, self._clock.now(), self._offset, trust_settings(settings), settings.known_age
         )
-        restored = begun.restored
-        if begun.source == "nothing":
-            return begun
-        self._note_start(begun)
+        restored = start_state.restored
+        if start_state.source == "nothing":
+            return start_state
+        self._record_start(start_state)
         log.info(
             "restored",
             extra={
-                "source": begun.source,
+                "source": start_state.source,
                 "entries": len(restored.entries.entries),
-                "age_s": round(begun.age / 1_000.0, 1),
+                "age_s": round(start_state.age / 1_000.0, 1),
                 "at_once": restored.max_attempts or "any",
                 "attempt_timeout_ms": round(restored.attempt_timeout),
                 "learned": len(restored.health),
             },
         )
-        return begun
+        return start_state
 
-    def _own(self) -> None:
-        """Say in the store whose it is."""
+    def _write_owner(self) -> None:
+        """Queue the owner record."""
         owner = OwnerRecord(sorted(self._classes))
-        self._due[OWNER_KEY] = encode(OWNER_KEY, owner, self._timeline.now())
+        self._pending[OWNER_KEY] = encode(OWNER_KEY, owner, self._timeline.now())
 
-    def _refuse(self, stored: Stored) -> None:
-        """Guards a start against the servers of another deployment under the same name and place.
+    def _discard_foreign_state(self, stored: Stored) -> None:
+        """Queue the deletion of all records of another deployment with the same balancer name and directory.
 
-        What that left is struck out as soon as this process writes.
+        Prevents a start with the servers of that deployment.
         """
         assert stored.owner is not None
         log.warning(
             "state of another deployment",
             extra={"classes": ",".join(stored.owner.classes)[:300], "entries": len(stored.servers)},
         )
-        self._foreign = True
+        self._is_foreign = True
         keys = [LIST_KEY, PACE_KEY, *map(server_key, stored.servers), *map(health_key, stored.health)]
-        self._due.update(dict.fromkeys(keys))
+        self._pending.update(dict.fromkeys(keys))
 
-    def _take_in(self, stored: Stored) -> None:
-        """What is in the store already needs no writing."""
+    def _adopt_stored(self, stored: Stored) -> None:
+        """Adopt the records that are stored already, so that they are not written again."""
         if stored.entry_count >= 0:
-            # Guards the times written from now on against those of another clock: that is written first.
+            # With the stored time base: if the current one differs, the next update writes the list record.
             self._list = ListRecord(
                 stored.version, stored.entry_count, stored.boot_id, stored.monotonic_offset
             )
-            self._confirmed = self._written_at = stored.confirmed_at
+            self._confirmed_at = self._list_written_at = stored.confirmed_at
         for ident, (record, confirmed) in stored.servers.items():
             self._servers[ident] = record
             if record.state == "left":
-                self._left[ident] = confirmed
+                self._left_at[ident] = confirmed
         for ident, (health, confirmed) in stored.health.items():
             self._health[ident] = recovery.to_health(health, confirmed, self._offset)
 
     def _restore_starts(self, known: ServerEntries | None) -> ServerEntries | None:
-        """The known list, with the starts that an earlier process has mapped.
+        """Return the known list with the start times that an earlier process has mapped to the store's time.
 
-        Guards a server's age against a wall clock that was stepped between two processes.
+        Keeps a server's age correct when the wall clock was stepped between the two processes.
         """
-        machines = known.entries if known is not None else []
-        told = [self._starts.announced_time(entry.server.id, entry.server.started) for entry in machines]
+        entries = known.entries if known is not None else []
+        announced = [self._starts.announced_time(entry.server.id, entry.server.started) for entry in entries]
         for ident, record in self._servers.items():
             if record.announced_started and record.started:
                 self._starts.restore(ident, record.announced_started, record.started - self._offset)
@@ -225,102 +225,101 @@
             return None
         mapped = [
             replace(entry, server=replace(server, started=self._starts.local_time(server.id, unix_ms)))
-            for entry, unix_ms in zip(machines, told, strict=True)
+            for entry, unix_ms in zip(entries, announced, strict=True)
             if (server := entry.server)
         ]
         return ServerEntries(known.version, known.full, mapped)
 
-    def _note_start(self, begun: recovery.StartState) -> None:
-        """Keep what the start goes by.
+    def _record_start(self, start_state: recovery.StartState) -> None:
+        """Queue the list that the process starts with.
 
-        Guards the next start against half a list: discovery may answer this one with changes alone, and the
-        rest would be in no store.
+        Prevents an incomplete stored list when discovery answers this process with changes only.
         """
-        confirmed = self._timeline.now() - begun.age
-        for entry in begun.restored.entries.entries:
+        confirmed = self._timeline.now() - start_state.age
+        for entry in start_state.restored.entries.entries:
             ident = entry.server.id
-            held = self._servers.get(ident)
-            version = held.version if held is not None else begun.version or 0
+            recorded = self._servers.get(ident)
+            version = recorded.version if recorded is not None else start_state.version or 0
             record = self._record(entry, version)
-            if held is None or not _same(record, held):
+            if recorded is None or not _is_same_server(record, recorded):
                 self._servers[ident] = record
-                self._left.pop(ident, None)
-                self._due[server_key(ident)] = encode(server_key(ident), record, confirmed)
-        named = {entry.server.id for entry in begun.restored.entries.entries}
+                self._left_at.pop(ident, None)
+                self._pending[server_key(ident)] = encode(server_key(ident), record, confirmed)
+        named = {entry.server.id for entry in start_state.restored.entries.entries}
         for ident, record in list(self._servers.items()):
             if ident not in named and record.state != "left":
-                self._note_left(ident, record, begun.version or 0, confirmed)
+                self._mark_left(ident, record, start_state.version or 0, confirmed)
         listed = sum(record.state != "left" for record in self._servers.values())
-        if begun.source == "known" or self._list is None:
-            self._list = self._list_record(begun.version or 0, listed)
-            self._confirmed = confirmed
-            self._due[LIST_KEY] = encode(LIST_KEY, self._list, confirmed)
+        if start_state.source == "known" or self._list is None:
+            self._list = self._list_record(start_state.version or 0, listed)
+            self._confirmed_at = confirmed
+            self._pending[LIST_KEY] = encode(LIST_KEY, self._list, confirmed)
 
     def learn_from_writer(self) -> None:
-        """Learn what the process that writes, the old version, has learned by now."""
-        if self._store is None or self._store.is_writer or self._foreign:
+        """Merge the health that the writing process, the old version, has stored so far."""
+        if self._store is None or self._store.is_writer or self._is_foreign:
             return
         try:
             stored = self._store.read_health()
         except StoreError as exc:
-            return self._tell_once(exc)
-        now, offset, figures = self._clock.now(), self._offset, trust_settings(self._settings)
+            return self._log_error(exc)
+        now, offset, settings = self._clock.now(), self._offset, trust_settings(self._settings)
         found = [
-            weighed
+            health
             for record, confirmed in stored.health.values()
-            if (weighed := trust.discard_expired(recovery.to_health(record, confirmed, offset), now, figures))
+            if (health := trust.discard_expired(recovery.to_health(record, confirmed, offset), now, settings))
         ]
         if found:
-            self._learn(found)
-        if not self._took_over:
-            self._took_over = True
-            log.info("took over", extra={"learned": ",".join(health.server for health in found) or "nothing"})
+            self._merge_health(found)
+        if not self._has_learned_from_writer:
+            self._has_learned_from_writer = True
+            log.info("took over", extra={"learned": ",".join(item.server for item in found) or "nothing"})
 
     def publish_health(self) -> None:
-        """A later version is starting: write what was learned soon, for it goes by that from its yes on."""
+        """Write learned health soon, for a later version that is starting."""
         if self._store is None or not self._store.is_writer:
             return
-        if self._clock.now() - self._gathered_at >= PUBLISH_INTERVAL_MS:
-            self._gather_health()
-            self._urgent.set()
+        if self._clock.now() - self._health_collected_at >= PUBLISH_INTERVAL_MS:
+            self._collect_health()
+            self._write_soon.set()
 
     def release_store(self) -> None:
-        """Leave the store to the next version. What has changed is written first."""
+        """Write all changes, then let the next version write the store."""
         if self._store is not None and self._store.is_writer:
-            self._gather_health()
-            self._gather_pace(last=True)
-            self._commit_now()
+            self._collect_health()
+            self._collect_pace(last=True)
+            self._commit_blocking()
             self._store.release_write_lock()
 
-    # What changes
+    # Recording changes
 
-    def note_list(self, machines: ServerEntries) -> None:
-        """A list that the exchange took: it is confirmed as of now, and what it changes will be written."""
+    def record_list(self, update: ServerEntries) -> None:
+        """Record a list that the exchange has applied as confirmed now, and queue its changes."""
         if self._store is None:
             return
         now = self._timeline.now()
-        self._confirmed = now
-        urgent = False
+        self._confirmed_at = now
+        is_urgent = False
         named = set()
-        for entry in machines.entries:
+        for entry in update.entries:
             named.add(entry.server.id)
-            urgent |= self._note(entry, machines.version, now)
-        if machines.full:
+            is_urgent |= self._update_server(entry, update.version, now)
+        if update.full:
             for ident, record in list(self._servers.items()):
                 if ident not in named and record.state != "left":
-                    urgent |= self._note_left(ident, record, machines.version, now)
+                    is_urgent |= self._mark_left(ident, record, update.version, now)
         listed = sum(record.state != "left" for record in self._servers.values())
-        whole = self._list_record(machines.version, listed)
-        if whole != self._list or now - self._written_at >= CONFIRM_INTERVAL_MS:
-            self._list = whole
-            self._written_at = now
-            self._due[LIST_KEY] = encode(LIST_KEY, whole, now)
-        if urgent:
-            # Guards the rule on drains across a crash: the next start must know of it.
-            self._urgent.set()
+        list_record = self._list_record(update.version, listed)
+        if list_record != self._list or now - self._list_written_at >= CONFIRM_INTERVAL_MS:
+            self._list = list_record
+            self._list_written_at = now
+            self._pending[LIST_KEY] = encode(LIST_KEY, list_record, now)
+        if is_urgent:
+            # Prevents a start after a crash from using a server that was drained or removed.
+            self._write_soon.set()
 
     def _record(self, entry: ServerEntry, version: int) -> ServerRecord:
-        """A machine as it is kept."""
+        """Return the record of a server entry."""
         server = entry.server
         return recovery.to_server_record(
             entry, version, self._offset, self._starts.announced_time(server.id, server.started)
@@ -329,107 +328,115 @@
     def _list_record(self, version: int, entries: int) -> ListRecord:
         return ListRecord(version, entries, self._timeline.boot_id, self._timeline.monotonic_offset)
 
-    def _note(self, entry: ServerEntry, version: int, now: float) -> bool:
-        """Take in an entry; tells whether it is bad news."""
+    def _update_server(self, entry: ServerEntry, version: int, now: float) -> bool:
+        """Queue the record of a changed entry; return whether it was drained or removed."""
         ident, state = entry.server.id, entry.server.state
-        held = self._servers.get(ident)
+        recorded = self._servers.get(ident)
         if state is ServerState.GONE:
-            if held is not None and held.state == "left":
+            if recorded is not None and recorded.state == "left":
                 return False
-            return self._note_left(ident, held or self._record(entry, version), version, now)
+            return self._mark_left(ident, recorded or self._record(entry, version), version, now)
         record = self._record(entry, version)
-        if held is not None and _same(record, held):
+        if recorded is not None and _is_same_server(record, recorded):
             return False
         self._servers[ident] = record
-        self._left.pop(ident, None)
+        self._left_at.pop(ident, None)
         key = server_key(ident)
-        self._due[key] = encode(key, record, now)
+        self._pending[key] = encode(key, record, now)
         return state is ServerState.DRAINING
 
-    def _note_left(self, ident: str, held: ServerRecord, version: int, now: float) -> bool:
-        """Keep a server that left as such, so that no older list brings it back."""
+    def _mark_left(self, ident: str, recorded: ServerRecord, version: int, now: float) -> bool:
+        """Queue a server's record as left, which prevents an older list from restoring it."""
         record = ServerRecord(
-            ident, held.host, held.port, held.front, "left", version, held.zone, held.kind, held.cell
+            ident,
+            recorded.host,
+            recorded.port,
+            recorded.front,
+            "left",
+            version,
+            recorded.zone,
+            recorded.kind,
+            recorded.cell,
         )
         self._servers[ident] = record
-        self._left[ident] = now
+        self._left_at[ident] = now
         key = server_key(ident)
-        self._due[key] = encode(key, record, now)
+        self._pending[key] = encode(key, record, now)
         if self._health.pop(ident, None) is not None:
-            self._due[health_key(ident)] = None
+            self._pending[health_key(ident)] = None
         return True
 
-    def _gather_health(self) -> None:
-        """What the module has learned since the last write."""
+    def _collect_health(self) -> None:
+        """Queue the health that has changed since the last call."""
         offset = self._offset
-        self._gathered_at = self._clock.now()
-        now = self._gathered_at + offset
-        told = {health.server: health for health in self._learned() if health.server in self._servers}
-        for ident, health in told.items():
-            held = self._health.get(ident)
+        self._health_collected_at = self._clock.now()
+        now = self._health_collected_at + offset
+        current = {health.server: health for health in self._read_health() if health.server in self._servers}
+        for ident, health in current.items():
+            recorded = self._health.get(ident)
             if (
-                held is None
-                or not _alike(held, health)
-                or health.observed_at - held.observed_at > CONFIRM_INTERVAL_MS
+                recorded is None
+                or not _is_same_health(recorded, health)
+                or health.observed_at - recorded.observed_at > CONFIRM_INTERVAL_MS
             ):
                 self._health[ident] = health
                 key = health_key(ident)
-                self._due[key] = encode(key, recovery.to_health_record(health, offset), now)
-        for ident in self._health.keys() - told.keys():
+                self._pending[key] = encode(key, recovery.to_health_record(health, offset), now)
+        for ident in self._health.keys() - current.keys():
             del self._health[ident]
-            self._due[health_key(ident)] = None
+            self._pending[health_key(ident)] = None
 
-    def _gather_pace(self, *, last: bool = False) -> None:
-        """How far rebalancing has come, now and then and at the end."""
+    def _collect_pace(self, *, last: bool = False) -> None:
+        """Queue the progress of rebalancing, every CONFIRM_INTERVAL_MS or (`last`) immediately."""
         now = self._clock.now()
-        if last or now - self._pace_at >= CONFIRM_INTERVAL_MS:
-            self._pace_at = now
-            record = self._pace(self._offset)
+        if last or now - self._pace_collected_at >= CONFIRM_INTERVAL_MS:
+            self._pace_collected_at = now
+            record = self._read_pace(self._offset)
             if record is not None:
-                self._due[PACE_KEY] = encode(PACE_KEY, record, now + self._offset)
+                self._pending[PACE_KEY] = encode(PACE_KEY, record, now + self._offset)
 
-    def _forget(self) -> None:
-        """Retention: servers that left long ago."""
+    def _forget_departed(self) -> None:
+        """Remove servers that left longer ago than the retention time."""
         now = self._timeline.now()
-        if now < self._forget_at:
+        if now < self._next_forget_at:
             return
-        self._forget_at = now + FORGET_INTERVAL_MS
-        for ident, at in list(self._left.items()):
+        self._next_forget_at = now + FORGET_INTERVAL_MS
+        for ident, at in list(self._left_at.items()):
             if now - at > self._settings.forget_after:
-                self._drop_left(ident)
+                self._drop_departed(ident)
 
-    def _drop_left(self, ident: str) -> None:
-        self._left.pop(ident, None)
+    def _drop_departed(self, ident: str) -> None:
+        self._left_at.pop(ident, None)
         self._servers.pop(ident, None)
-        self._due[server_key(ident)] = None
+        self._pending[server_key(ident)] = None
 
     # Writing
 
     async def run(self) -> None:
-        """Write what changes, until cancelled; the last of it is written then."""
+        """Write changes until cancelled; pending ones are written before the return."""
         if self._store is None:
             return
         try:
             while True:
                 with self._clock.limit(self._settings.write_every):
-                    await self._urgent.wait()
-                self._urgent = anyio.Event()
+                    await self._write_soon.wait()
+                self._write_soon = anyio.Event()
                 if self._become_writer(self._store):
-                    if self._clock.now() - self._gathered_at >= self._settings.write_every:
-                        # Bad news of a list hurries; what was learned keeps its pace.
-                        self._gather_health()
-                        self._gather_pace()
-                        self._forget()
+                    if self._clock.now() - self._health_collected_at >= self._settings.write_every:
+                        # An urgent write of the list does not make health and progress be written more often.
+                        self._collect_health()
+                        self._collect_pace()
+                        self._forget_departed()
                     await self._commit()
-                elif self._took_over:
+                elif self._has_learned_from_writer:
                     self.learn_from_writer()
         finally:
-            self._commit_now()
+            self._commit_blocking()
             self._store.close()
             self._store = None
 
     def _become_writer(self, store: Store) -> bool:
-        """Whether this process writes; when it has just come to, the store is made to say what it holds."""
+        """Return whether this process writes; on becoming the writer, queue all that the store lacks."""
         if store.is_writer:
             return True
         try:
@@ -437,79 +444,79 @@
                 return False
             stored = store.read()
         except StoreError as exc:
-            store.release_write_lock()  # what it holds was not seen: it is claimed anew
-            self._tell_once(exc)
+            store.release_write_lock()  # its content was not read: retry both together
+            self._log_error(exc)
             return False
         if stored.belongs_to_other_deployment(self._classes):
-            self._refuse(stored)
-            self._own()
+            self._discard_foreign_state(stored)
+            self._write_owner()
             stored = Stored()
-        self._foreign = False  # from now on what it holds is ours
+        self._is_foreign = False  # its records are deleted by the next commit
         now = self._timeline.now()
         if stored.pace is not None:
-            self._go_on(stored.pace, self._offset)
+            self._restore_pace(stored.pace, self._offset)
         self._health.clear()
         for ident, (health, confirmed) in stored.health.items():
             self._health[ident] = recovery.to_health(health, confirmed, self._offset)
         for ident, (record, confirmed) in stored.servers.items():
             if ident not in self._servers and record.state == "left":
                 self._servers[ident] = record
-                self._left[ident] = confirmed
+                self._left_at[ident] = confirmed
             elif ident not in self._servers:
-                self._due[server_key(ident)] = None
+                self._pending[server_key(ident)] = None
         for ident, record in self._servers.items():
-            held = stored.servers.get(ident)
-            if held is None or not _same(held[0], record):
-                self._due[server_key(ident)] = encode(server_key(ident), record, now)
+            recorded = stored.servers.get(ident)
+            if recorded is None or not _is_same_server(recorded[0], record):
+                self._pending[server_key(ident)] = encode(server_key(ident), record, now)
         if self._list is not None:
-            self._due[LIST_KEY] = encode(LIST_KEY, self._list, self._confirmed)
+            self._pending[LIST_KEY] = encode(LIST_KEY, self._list, self._confirmed_at)
         log.info("state writer", extra={"file": str(store.path)})
         return True
 
     async def _commit(self) -> None:
-        store, due = self._store, self._due
-        if store is None or not due:
+        store, pairs = self._store, self._pending
+        if store is None or not pairs:
             return
-        self._due = {}
+        self._pending = {}
         try:
-            if self._slow_commits:
-                took = await to_thread.run_sync(store.write, due)
+            if self._commits_in_thread:
+                duration = await to_thread.run_sync(store.write, pairs)
             else:
-                took = store.write(due)
-                self._slow_commits = took > MAX_LOOP_COMMIT_MS
+                duration = store.write(pairs)
+                self._commits_in_thread = duration > MAX_LOOP_COMMIT_MS
         except StoreError as exc:
-            self._failed(due, exc)
+            self._requeue(pairs, exc)
         except BaseException:
-            # Guards what was to be written against the end of the program before the thread had begun.
-            self._due = {**due, **self._due}
+            # Keeps the changes if the program ends before the thread has started.
+            self._pending = {**pairs, **self._pending}
             raise
 
-    def _commit_now(self) -> None:
-        due, self._due = self._due, {}
-        if self._store is None or not due or not self._store.is_writer:
+    def _commit_blocking(self) -> None:
+        pairs, self._pending = self._pending, {}
+        if self._store is None or not pairs or not self._store.is_writer:
             return
         try:
-            self._store.write(due)
+            self._store.write(pairs)
         except StoreError as exc:
-            self._failed(due, exc)
+            self._requeue(pairs, exc)
 
-    def _failed(self, due: dict[bytes, bytes | None], exc: StoreError) -> None:
-        """Nothing was written: it is due again, less the least needed where there is no room."""
-        self._due = {**due, **self._due}
+    def _requeue(self, pairs: dict[bytes, bytes | None], exc: StoreError) -> None:
+        """Queue pairs of a failed commit again; if the store is full, drop half of the servers that left."""
+        self._pending = {**pairs, **self._pending}
         if isinstance(exc, StoreFullError):
-            for ident in sorted(self._left, key=self._left.__getitem__)[: 1 + len(self._left) // 2]:
-                self._drop_left(ident)
-        self._tell_once(exc)
+            for ident in sorted(self._left_at, key=self._left_at.__getitem__)[: 1 + len(self._left_at) // 2]:
+                self._drop_departed(ident)
+        self._log_error(exc)
 
-    def _tell_once(self, exc: StoreError) -> None:
+    def _log_error(self, exc: StoreError) -> None:
         now = self._clock.now()
-        if now - self._told_at >= ERROR_LOG_INTERVAL_MS:
-            self._told_at = now
+        if now - self._error_logged_at >= ERROR_LOG_INTERVAL_MS:
+            self._error_logged_at = now
             log.error("state not kept", extra={"error": str(exc)})
 
 
-def _same(one: ServerRecord, other: ServerRecord) -> bool:
-    """Alike but for a start that went through two clocks."""
+def _is_same_server(one: ServerRecord, other: ServerRecord) -> bool:
+    """Compare records, allowing for rounding of start times converted between clocks."""
     if abs(one.started - other.started) > 1_000.0:
         return False
     return all(
@@ -518,8 +525,8 @@
     )
 
 
-def _alike(one: Health, other: Health) -> bool:
-    """Whether there is no news in the second: times that only moved on with the clock do not count."""
+def _is_same_health(one: Health, other: Health) -> bool:
+    """Compare health, ignoring times that only advance with the clock."""
     return (
         one.failures == other.failures
         and abs(one.retry_at - other.retry_at) < 1.0
--- a/puffinford/state/list_client.py
+++ b/puffinford/state/list_client.py
@@ -1,6 +1,6 @@
-"""The list client: where server lists come from, what judges each, and the exchange that takes them.
+"""The list client: reads server lists from one source, validates each, and hands it to the exchange.
 
-`serve` runs one, and so does each hollow balancer of `puffinford.scale`.
+Both `serve` and the simulated balancers of `puffinford.scale` use it.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 log = logging.getLogger(__name__)
 
 ListSource = DiscoveryWatch | InventoryFile
-_WATCH_SEED = 0xD15C  # keeps the draws of the watch apart from those of the decision module
+_WATCH_SEED_MASK = 0xD15C  # gives the watch a random sequence of its own, apart from the decision module's
 
 
 class ListConsumer(Protocol):
-    """What goes by the lists: the exchange."""
+    """The part of the exchange that receives server lists."""
 
-    def take_list(self, machines: ServerEntries | None) -> None:
-        """A list has come, or (None) a call for one has failed."""
+    def take_list(self, entries: ServerEntries | None) -> None:
+        """Apply a list; None reports a failed call for one."""
 
 
 class ListClient:
-    """Asks one source for server lists, has each judged, and passes on what is to be taken.
+    """Passes the validated lists of one source to the exchange.
 
-    `source` is for the exchange, which asks through it, and is run beside it.
+    The caller runs `source` and gives it to the exchange, which requests lists through it.
     """
 
     def __init__(
@@ -42,12 +42,13 @@
         exchange: ListConsumer,
         start: StartState,
         clock: Clock,
-        note: Callable[[ServerEntries], None],
+        on_list: Callable[[ServerEntries], None],
         starts: StartTimes | None = None,
     ) -> None:
-        """`start` is what there is to go by before the source has spoken; `note` hears each list that was
-        taken, once it is in force. `watch` or `read` names the source, before anything runs.
-        `starts` is shared with whatever else in this process reads lists.
+        """Begin with the state `start`. `on_list` is called with each list once the exchange has applied it.
+
+        Call `watch` or `read` before anything runs: it sets the source. `starts` is shared with the other
+        readers of lists in this process.
         """
         self._starts = starts or StartTimes(clock)
         self.restored: RestoredState = start.restored
@@ -55,7 +56,7 @@
         self._exchange = exchange
         self._version = start.version
         self._clock = clock
-        self._note = note
+        self._on_list = on_list
         self._validator = ListValidator(start.version, start.restored.entries.entries)
 
     def watch(
@@ -66,38 +67,38 @@
         seed: int,
         relays: Sequence[tuple[str, int]] = (),
     ) -> None:
-        """Take lists from discovery; `always_subscribed` where changes count as told without being asked for.
+        """Use discovery as the source; `always_subscribed` where changes are announced without a request.
 
-        `relays` are asked in its place, the preferred one first.
+        `relays` are called in place of discovery, the preferred one first.
         """
-        rng = random.Random(seed ^ _WATCH_SEED)
+        rng = random.Random(seed ^ _WATCH_SEED_MASK)
         self.source = DiscoveryWatch(
             discovery, self._version, self._clock, self._take, always_subscribed, rng, relays, self._starts
         )
 
     def read(self, inventory: Path) -> None:
-        """Take lists from an inventory file; raises as `InventoryFile.check` does."""
+        """Use an inventory file as the source; raises what `InventoryFile.check` raises."""
         self.source = InventoryFile(inventory, self._clock, self._take, self._starts)
         self.source.check()
 
     def change_address(self, discovery: tuple[str, int], *, changed: bool) -> None:
-        """Discovery answers there from now on; `changed` where that is another address than before."""
+        """Set the address of discovery; `changed` where it differs from the one before."""
         if isinstance(self.source, DiscoveryWatch):
             if changed and not self.source.uses_relays:
-                self._validator.moved()
+                self._validator.reset_version()
             self.source.change_address(discovery)
 
-    def _take(self, machines: ServerEntries | None) -> int | None:
-        """An answer of the list's source, or None for none; the version that the next call goes on from."""
-        if machines is None:
+    def _take(self, answer: ServerEntries | None) -> int | None:
+        """Handle an answer (None: a failed call); return the version that the next call continues from."""
+        if answer is None:
             self._exchange.take_list(None)
             return self._validator.version
         if isinstance(self.source, InventoryFile):
-            self._validator.moved()  # the file counts anew in each process, and is the operators' word
-        taken = self._validator.validate(machines)
-        if taken.note:
-            log.warning("discovery suspect", extra={"why": taken.note})
-        if taken.entries is not None:
-            self._exchange.take_list(taken.entries)
-            self._note(taken.entries)
-        return taken.version
+            self._validator.reset_version()  # versions of a file restart with each process
+        accepted = self._validator.validate(answer)
+        if accepted.note:
+            log.warning("discovery suspect", extra={"why": accepted.note})
+        if accepted.entries is not None:
+            self._exchange.take_list(accepted.entries)
+            self._on_list(accepted.entries)
+        return accepted.version
--- a/puffinford/state/recovery.py
+++ b/puffinford/state/recovery.py
@@ -1,8 +1,7 @@
-"""What a start goes by, and which word of discovery to take. No I/O, no clock; times are ms.
+"""The state that a process starts with, and the validation of server lists. No I/O, no clock; times are ms.
 
-`build_start_state` makes one list of the store and the configuration's `known`, entry by entry.
-`ListValidator` looks at each
-answer of discovery before it goes on.
+`build_start_state` combines the store with the configuration's `known` list. `ListValidator` checks each
+answer of discovery before it is applied.
 """
 
 from __future__ import annotations
@@ -15,13 +14,17 @@
 from puffinford.state import trust
 from puffinford.state.records import HealthRecord, ServerRecord, Stored
 
-_WORDS = {state: word for word, state in STATES_BY_NAME.items()}
-_WORSE = {ServerState.LIVE: 0, ServerState.DRAINING: 1, ServerState.GONE: 2}
+_NAMES_BY_STATE = {state: name for name, state in STATES_BY_NAME.items()}
+_STATE_SEVERITY = {ServerState.LIVE: 0, ServerState.DRAINING: 1, ServerState.GONE: 2}
 
 
-def to_server_record(entry: ServerEntry, version: int, offset: float, told: float = 0.0) -> ServerRecord:
-    """A machine as it is kept; `offset` is the store's time less the host's, in ms, `told` its start in Unix
-    ms as discovery told it.
+def to_server_record(
+    entry: ServerEntry, version: int, offset: float, announced_started: float = 0.0
+) -> ServerRecord:
+    """Return the record of a server entry.
+
+    `offset` is the store's time minus the process clock's, in ms; `announced_started` the start time in Unix
+    ms as discovery announced it.
     """
     server = entry.server
     started = max(0.0, server.started + offset) if server.started else 0.0
@@ -30,79 +33,80 @@
         entry.host,
         entry.port,
         entry.front,
-        _WORDS[server.state],
+        _NAMES_BY_STATE[server.state],
         version,
         server.zone,
         server.kind,
         server.cell,
         server.weight,
         started,
-        told,
+        announced_started,
     )
 
 
 def to_server_entry(record: ServerRecord, offset: float, now: float) -> ServerEntry | None:
-    """A kept machine; None where the record names a state or front that nobody knows. `now` is the host's."""
+    """Return the entry of a record; None if its state or front is unknown. `now` is the process clock's."""
     state = STATES_BY_NAME.get(record.state)
     if state is None or record.front not in FRONT_NAMES:
         return None
-    # Guards a server against being cold until a wall clock that was set back has come there again.
+    # Prevents a start in the future, which would keep the server cold after the clock was set back.
     started = min(record.started - offset, now) if record.started else 0.0
     server = Server(record.id, record.zone, record.kind, record.cell, state, record.weight, started)
     return ServerEntry(server, record.host, record.port, record.front)
 
 
 def to_health_record(health: Health, offset: float) -> HealthRecord:
-    """What was learned of a server as it is kept."""
+    """Return the record of a server's health."""
 
-    def unix(at: float | None) -> float:
+    def to_store_time(at: float | None) -> float:
         return max(0.0, at + offset) if at else 0.0
 
     return HealthRecord(
         health.server,
         health.failures,
-        unix(health.retry_at),
-        unix(health.unreachable_since),
-        unix(health.slow_until),
-        unix(health.late_report_at),
+        to_store_time(health.retry_at),
+        to_store_time(health.unreachable_since),
+        to_store_time(health.slow_until),
+        to_store_time(health.late_report_at),
         health.delay,
         -1.0 if health.capacity_estimate is None else health.capacity_estimate,
-        unix(health.capacity_estimated_at),
-        unix(health.cold_since),
+        to_store_time(health.capacity_estimated_at),
+        to_store_time(health.cold_since),
     )
 
 
 def to_health(record: HealthRecord, confirmed: float, offset: float) -> Health:
-    """What was learned of a server, on the host's time."""
+    """Return a server's health with its times on the process clock."""
 
-    def here(at: float) -> float:
+    def to_process_time(at: float) -> float:
         return at - offset if at else 0.0
 
     return Health(
         record.id,
         confirmed - offset,
         record.failures,
-        here(record.retry_at),
-        here(record.unreachable_since) or None,
-        here(record.slow_until),
-        here(record.late_report_at),
+        to_process_time(record.retry_at),
+        to_process_time(record.unreachable_since) or None,
+        to_process_time(record.slow_until),
+        to_process_time(record.late_report_at),
         record.delay,
         record.capacity_estimate if record.capacity_estimate >= 0 else None,
-        here(record.capacity_estimated_at),
-        here(record.cold_since) or None,
+        to_process_time(record.capacity_estimated_at),
+        to_process_time(record.cold_since) or None,
     )
 
 
 @dataclass(frozen=True)
 class StartState:
-    """What a start goes by. `version` is what the first call of discovery continues from; None: it asks for
-    all.
+    """The state that a process starts with.
+
+    The first call to discovery continues from `version`; None requests a full list.
     """
 
     restored: RestoredState
     version: int | None
     source: str  # for the log: store, known or nothing
-    age: float  # of what was used, in ms
+    age: float  # of the list that was used, in ms
 
 
 def build_start_state(
@@ -113,44 +117,47 @@
     trust_settings: trust.TrustSettings,
     known_age: float,
 ) -> StartState:
-    """One list of both, the newer side entry by entry; `now` and `known_age` in ms of the host's time."""
-    kept = _kept(stored, offset, now)
-    told = {entry.server.id: entry for entry in known.entries} if known is not None else {}
+    """Choose the newer of the two lists, and take start times and health from the store.
+
+    `now` is on the process clock, `known_age` the age of `known`; both in ms.
+    """
+    stored_entries = _stored_entries(stored, offset, now)
+    known_entries = {entry.server.id: entry for entry in known.entries} if known is not None else {}
     stored_age = trust.age(stored.confirmed_at - offset, now) if stored is not None else 0.0
-    known_newer = known is not None and _newer(known.version, known_age, stored, stored_age)
-    # Guards against what is gone coming back to life: the newer side would name it, had it stayed.
-    newer, older = (told, kept) if known_newer else (kept, told)
+    known_newer = known is not None and _is_known_newer(known.version, known_age, stored, stored_age)
+    # Prevents the return of removed servers: only entries of the newer list are used.
+    newer, older = (known_entries, stored_entries) if known_newer else (stored_entries, known_entries)
     used: dict[str, ServerEntry] = {}
     for ident, entry in newer.items():
         other = older.get(ident)
-        used[ident] = _with_start(entry, other) if other is not None else entry
-    machines = [entry for entry in used.values() if entry.server.state is not ServerState.GONE]
-    live = frozenset(m.server.id for m in machines if m.server.state is ServerState.LIVE)
+        used[ident] = _with_latest_start(entry, other) if other is not None else entry
+    entries = [entry for entry in used.values() if entry.server.state is not ServerState.GONE]
+    live = frozenset(item.server.id for item in entries if item.server.state is ServerState.LIVE)
     version: int | None = None
     if known is not None and known_newer:
         version = known.version
     elif stored is not None and stored.is_complete:
-        # An answer with the changes alone would never name an entry that the store has lost.
+        # An incomplete store needs a full list: incremental changes would never name the lost entry.
         version = stored.version
-    old = known_age if known_newer else stored_age
-    limits = trust.attempt_limits(old, len(live), trust_settings)
-    unverified = live if old > trust.TRUSTED_LIST_AGE_MS else frozenset()
-    health = [] if stored is None else _health(stored, now, offset, trust_settings)
-    listed = ServerEntries(version or 0, True, machines)
-    restored = RestoredState(listed, unverified, limits.max_attempts, limits.attempt_timeout, health)
+    list_age = known_age if known_newer else stored_age
+    limits = trust.attempt_limits(list_age, len(live), trust_settings)
+    unverified = live if list_age > trust.TRUSTED_LIST_AGE_MS else frozenset()
+    health = [] if stored is None else _current_health(stored, now, offset, trust_settings)
+    server_list = ServerEntries(version or 0, True, entries)
+    restored = RestoredState(server_list, unverified, limits.max_attempts, limits.attempt_timeout, health)
     source = "nothing" if not used else "known" if known_newer else "store"
-    return StartState(restored, version, source, old)
+    return StartState(restored, version, source, list_age)
 
 
-def _kept(stored: Stored | None, offset: float, now: float) -> dict[str, ServerEntry]:
+def _stored_entries(stored: Stored | None, offset: float, now: float) -> dict[str, ServerEntry]:
     if stored is None:
         return {}
-    made = {record.id: to_server_entry(record, offset, now) for record, _ in stored.servers.values()}
-    return {ident: entry for ident, entry in made.items() if entry is not None}
+    entries = {record.id: to_server_entry(record, offset, now) for record, _ in stored.servers.values()}
+    return {ident: entry for ident, entry in entries.items() if entry is not None}
 
 
-def _newer(version: int, known_age: float, stored: Stored | None, stored_age: float) -> bool:
-    """Whether `known` is newer than the store. Where both tell their version, ages do not matter."""
+def _is_known_newer(version: int, known_age: float, stored: Stored | None, stored_age: float) -> bool:
+    """Return whether `known` is newer than the store: by version where both have one, else by age."""
     if stored is None or not stored.servers:
         return True
     if version and stored.version:
@@ -158,104 +165,112 @@
     return known_age < stored_age
 
 
-def _with_start(entry: ServerEntry, other: ServerEntry) -> ServerEntry:
-    """A server's latest start, whichever side names it: one that is cold is cold whoever told."""
+def _with_latest_start(entry: ServerEntry, other: ServerEntry) -> ServerEntry:
+    """Return the entry with the later start time of both, so that a cold server is not taken for warm."""
     if other.server.started <= entry.server.started:
         return entry
     return replace(entry, server=replace(entry.server, started=other.server.started))
 
 
-def _health(stored: Stored, now: float, offset: float, trust_settings: trust.TrustSettings) -> list[Health]:
-    """What was learned and still counts."""
-    weighed = (
+def _current_health(
+    stored: Stored, now: float, offset: float, trust_settings: trust.TrustSettings
+) -> list[Health]:
+    """Return the stored health that has not expired."""
+    current = (
         trust.discard_expired(to_health(record, confirmed, offset), now, trust_settings)
         for record, confirmed in stored.health.values()
     )
-    return [health for health in weighed if health is not None]
+    return [health for health in current if health is not None]
 
 
 @dataclass(frozen=True)
 class AcceptedUpdate:
-    """What to pass on of an answer (None: nothing), and what the next call continues from (None: ask for
-    all).
+    """The accepted part of an answer (None: nothing), and the version the next call continues from.
+
+    A version of None requests a full list.
     """
 
     entries: ServerEntries | None
     version: int | None
-    note: str = ""  # why it was not taken as it is
+    note: str = ""  # why the answer was not accepted as it is
 
 
 class ListValidator:
-    """Holds the list in force, and judges each answer by it.
+    """Holds the current list, and validates each answer against it.
 
-    The rules count news as told once they are written to us, so leaving, left and absent servers are taken
-    from any answer. What an answer below the version in force says to use has to be said twice.
+    Drains and removals are accepted from any answer, since they take effect as soon as they are announced.
+    Anything else in an answer older than the current list is accepted only when a second answer repeats it.
     """
 
-    def __init__(self, version: int | None = None, machines: list[ServerEntry] | None = None) -> None:
+    def __init__(self, version: int | None = None, entries: list[ServerEntry] | None = None) -> None:
         self._version = version
-        self._held = {entry.server.id: entry for entry in machines or []}
-        self._doubted = False  # the last answer was an older one, and we have asked for all
+        self._entries = {entry.server.id: entry for entry in entries or []}
+        self._awaiting_confirmation = False  # the last answer was older, and a full list was requested
 
     @property
     def version(self) -> int | None:
-        """The version in force, which a call after a failed one goes on from; None while one is doubted."""
-        return None if self._doubted else self._version
+        """The version that the call after a failed one continues from; None while a full list is awaited."""
+        return None if self._awaiting_confirmation else self._version
 
-    def moved(self) -> None:
-        """Discovery answers at another address: its versions need not go on from those held."""
+    def reset_version(self) -> None:
+        """Forget the version: another source counts its versions independently."""
         self._version = None
-        self._doubted = False
+        self._awaiting_confirmation = False
 
     def validate(self, answer: ServerEntries) -> AcceptedUpdate:
-        """What to take of an answer."""
-        machines = _each_once(answer.entries)
-        older = self._version is not None and answer.version < self._version
-        if not older or (answer.full and self._doubted):
+        """Return the accepted part of an answer."""
+        entries = _deduplicated(answer.entries)
+        is_older = self._version is not None and answer.version < self._version
+        if not is_older or (answer.full and self._awaiting_confirmation):
             if not answer.full and self._version is None:
-                # Guards against changes against a list that we never had.
-                return self._bad_news(machines, None, "changes without a list")
-            self._doubted = False
-            self._hold(answer, machines)
-            return AcceptedUpdate(ServerEntries(answer.version, answer.full, machines), answer.version)
+                # Changes relative to a list that was never received cannot be applied.
+                return self._accept_removals(entries, None, "changes without a list")
+            self._awaiting_confirmation = False
+            self._apply(answer, entries)
+            return AcceptedUpdate(ServerEntries(answer.version, answer.full, entries), answer.version)
         note = f"version {answer.version} after {self._version}"
-        self._doubted = True
+        self._awaiting_confirmation = True
         if answer.full:
-            machines = machines + self._absent(machines)
-        return self._bad_news(machines, None, note)
-
-    def _bad_news(self, machines: list[ServerEntry], version: int | None, note: str) -> AcceptedUpdate:
-        bad = [m for m in machines if m.server.state is not ServerState.LIVE and m.server.id in self._held]
-        for entry in bad:
-            self._held[entry.server.id] = entry
-        passed = ServerEntries(self._version or 0, False, bad) if bad else None
-        return AcceptedUpdate(passed, version, note)
-
-    def _absent(self, machines: list[ServerEntry]) -> list[ServerEntry]:
-        """The held servers that a whole answer does not name, as gone."""
-        named = {entry.server.id for entry in machines}
+            entries = entries + self._absent_entries(entries)
+        return self._accept_removals(entries, None, note)
+
+    def _accept_removals(self, entries: list[ServerEntry], version: int | None, note: str) -> AcceptedUpdate:
+        """Accept only what drains or removes a server of the current list."""
+        removals = [
+            item
+            for item in entries
+            if item.server.state is not ServerState.LIVE and item.server.id in self._entries
+        ]
+        for entry in removals:
+            self._entries[entry.server.id] = entry
+        accepted = ServerEntries(self._version or 0, False, removals) if removals else None
+        return AcceptedUpdate(accepted, version, note)
+
+    def _absent_entries(self, entries: list[ServerEntry]) -> list[ServerEntry]:
+        """Return the current servers that a full answer does not name, as gone."""
+        named = {entry.server.id for entry in entries}
         return [
-            replace(held, server=replace(held.server, state=ServerState.GONE))
-            for ident, held in self._held.items()
+            replace(current, server=replace(current.server, state=ServerState.GONE))
+            for ident, current in self._entries.items()
             if ident not in named
         ]
 
-    def _hold(self, answer: ServerEntries, machines: list[ServerEntry]) -> None:
+    def _apply(self, answer: ServerEntries, entries: list[ServerEntry]) -> None:
         self._version = answer.version
         if answer.full:
-            self._held.clear()
-        for entry in machines:
+            self._entries.clear()
+        for entry in entries:
             if entry.server.state is ServerState.GONE:
-                self._held.pop(entry.server.id, None)
+                self._entries.pop(entry.server.id, None)
             else:
-                self._held[entry.server.id] = entry
+                self._entries[entry.server.id] = entry
 
 
-def _each_once(machines: list[ServerEntry]) -> list[ServerEntry]:
-    """Of a server named twice the worse state counts: an answer at odds with itself is told either way."""
-    seen: dict[str, ServerEntry] = {}
-    for entry in machines:
-        other = seen.get(entry.server.id)
-        if other is None or _WORSE[entry.server.state] >= _WORSE[other.server.state]:
-            seen[entry.server.id] = entry
-    return machines if len(seen) == len(machines) else list(seen.values())
+def _deduplicated(entries: list[ServerEntry]) -> list[ServerEntry]:
+    """Return one entry for each server; of contradicting ones the most severe state wins."""
+    by_id: dict[str, ServerEntry] = {}
+    for entry in entries:
+        other = by_id.get(entry.server.id)
+        if other is None or _STATE_SEVERITY[entry.server.state] >= _STATE_SEVERITY[other.server.state]:
+            by_id[entry.server.id] = entry
+    return entries if len(by_id) == len(entries) else list(by_id.values())
--- a/puffinford/state/store.py
+++ b/puffinford/state/store.py
@@ -1,7 +1,7 @@
-"""The store on LMDB: one file, written by one process, read by any.
+"""The store on LMDB: one file with a single writing process and any number of readers.
 
-A store that is kept for good is made anew from its sound records at each start, by a child process: LMDB maps
-its file, and a page that has rotted can end whoever reads it. The same step compacts it.
+A durable store is rebuilt from its valid records at each start, which also compacts it. A child process reads
+the old file: LMDB maps it into memory, and a corrupted page can crash the reader.
 """
 
 from __future__ import annotations
@@ -25,23 +25,23 @@
 from puffinford.state import records
 from puffinford.state.records import HEALTH_PREFIX, LIST_KEY, SERVER_PREFIX, Stored
 
-MIN_MAP_BYTES = 64 << 10  # bytes; LMDB needs some pages for any tree
-CHILD_TIMEOUT_S = 10.0  # seconds for the child that reads a store; then it counts as one that cannot be read
-MAX_READERS = 16  # processes and tools that may read at once
+MIN_MAP_BYTES = 64 << 10  # LMDB needs several pages even for an empty store
+CHILD_TIMEOUT_S = 10.0  # for the child that reads a store; after that the store counts as unreadable
+MAX_READERS = 16  # processes that may read concurrently
 
-Pairs = Mapping[bytes, bytes | None]  # values by key; None deletes
+Pairs = Mapping[bytes, bytes | None]  # values by key; None deletes the key
 
 
 class StoreError(Exception):
-    """A file or LMDB operation failed; the text says which and why. The last commit stays."""
+    """A file or LMDB operation failed; the message says which and why. The last commit is unaffected."""
 
 
 class StoreFullError(StoreError):
-    """The store has reached its size, or its disk has."""
+    """The store has reached its size limit, or its disk is full."""
 
 
 class Verdict(IntEnum):
-    """What the child says of a store, as its exit code."""
+    """The result of reading a store in a child process, which is its exit code."""
 
     SOUND = 0
     UNREADABLE = 10
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Rebuild:
-    """What came of making a store anew: what was wrong, and where the old file is now, if set aside."""
+    """A rebuild that lost records; `quarantined_path` is the old file where an empty store replaced it."""
 
     verdict: Verdict
     quarantined_path: str = ""
@@ -59,7 +59,7 @@
 
 
 def lock_path(path: Path) -> Path:
-    """The file whose lock says who writes."""
+    """Return the path of the file that the writing process locks."""
     return path.with_name(path.name + ".writer")
 
 
@@ -87,21 +87,21 @@
 
 
 @contextmanager
-def _translate_errors(what: str) -> Iterator[None]:
-    """LMDB's errors as ours."""
+def _translate_errors(operation: str) -> Iterator[None]:
+    """Raise errors of LMDB and the system as StoreError, naming the operation."""
     try:
         yield
     except (lmdb.MapFullError, lmdb.DiskError) as exc:
-        raise StoreFullError(f"{what}: {exc}") from None
+        raise StoreFullError(f"{operation}: {exc}") from None
     except (lmdb.Error, OSError) as exc:
-        # LMDB hands on errno as text alone.
-        lack = (errno.ENOSPC, errno.EFBIG, errno.EDQUOT)
-        full = any(os.strerror(number) in str(exc) for number in lack)
-        raise (StoreFullError if full else StoreError)(f"{what}: {exc}") from None
+        # LMDB reports errno only in its text.
+        full_disk_errors = (errno.ENOSPC, errno.EFBIG, errno.EDQUOT)
+        full = any(os.strerror(number) in str(exc) for number in full_disk_errors)
+        raise (StoreFullError if full else StoreError)(f"{operation}: {exc}") from None
 
 
 class Store:
-    """An open store. Construct with `open_store`; not for several threads at once."""
+    """An open store, created by `open_store`. Not thread-safe."""
 
     def __init__(self, path: Path, environment: lmdb.Environment, lock: int | None, sync: bool) -> None:
         self.path = path
@@ -112,16 +112,16 @@
 
     @property
     def is_writer(self) -> bool:
-        """Whether this process is the one that writes."""
+        """Whether this process holds the write lock."""
         return self._lock is not None
 
     def read(self) -> Stored:
-        """All that is sound; raises StoreError."""
+        """Return all valid records; raises StoreError."""
         with _translate_errors("read"):
             return _read(self._environment)
 
     def read_health(self) -> Stored:
-        """What was learned alone, which is what a new version takes over; raises StoreError."""
+        """Return the health records only; raises StoreError."""
         stored = Stored()
         with _translate_errors("read"), self._environment.begin(buffers=True) as transaction:
             cursor = transaction.cursor()
@@ -133,16 +133,16 @@
         return stored
 
     def write(self, pairs: Pairs) -> float:
-        """Commit all of them or none; the ms it took. Raises StoreFullError or StoreError."""
+        """Commit the pairs in one transaction and return its duration in ms; raises StoreError."""
         if not self.is_writer:
-            raise StoreError("write: another process writes")
+            raise StoreError("write: this process does not hold the write lock")
         started = time.perf_counter()
         with _translate_errors("write"):
             try:
                 self._put(pairs)
             except lmdb.MapFullError:
-                # Guards against a reader that was killed: the pages that it saw are not used again until it
-                # is struck from the table.
+                # Frees the pages held by readers that were killed: LMDB does not reuse them before
+                # reader_check() has removed such readers from its table.
                 if not self._environment.reader_check():
                     raise
                 self._put(pairs)
@@ -157,9 +157,9 @@
                     transaction.put(key, value)
 
     def acquire_write_lock(self) -> bool:
-        """Become the one that writes, where nobody is; tells whether this process is now.
+        """Take the write lock if it is free; return whether this process holds it.
 
-        Raises StoreError; then it is not, and may try again.
+        Raises StoreError without holding the lock; the call can be repeated.
         """
         if self._lock is None:
             with _translate_errors("lock"):
@@ -169,16 +169,16 @@
         return self.is_writer
 
     def release_write_lock(self) -> None:
-        """Leave writing to another process; reading goes on."""
+        """Let another process write; this one can still read."""
         if self._lock is not None:
             os.close(self._lock)
             self._lock = None
 
     def _reopen_to_write(self, lock: int) -> None:
-        """Open the file anew, as the holder of the writer's lock."""
+        """Reopen the file for writing; the caller holds the write lock."""
         try:
             with _translate_errors("open"):
-                self._environment.close()  # LMDB opens a file once in a process
+                self._environment.close()  # a process may not open an LMDB file twice
                 self._environment = _open(self.path, self._map_size, sync=self._sync, write=True)
         except StoreError:
             os.close(lock)
@@ -186,18 +186,18 @@
         self._lock = lock
 
     def close(self) -> None:
-        """Close the file and let the lock go."""
+        """Close the file and release the lock."""
         self._environment.close()
         self.release_write_lock()
 
     def used_bytes(self) -> int:
-        """Bytes of the file that are in use or were."""
+        """Return the bytes of all pages allocated so far, free ones included."""
         info, stat = self._environment.info(), self._environment.stat()
         return (int(info["last_pgno"]) + 1) * int(stat["psize"])
 
 
 def _take_lock(path: Path) -> int | None:
-    """The writer's lock, held as long as the descriptor is open; None where another process has it."""
+    """Take the write lock and return its descriptor, which holds it; None if another process has it."""
     descriptor = os.open(lock_path(path), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -208,10 +208,10 @@
 
 
 def open_store(path: Path, size: int, *, durable: bool) -> tuple[Store, Rebuild | None]:
-    """Open a store, or make it. The first process writes; later ones read.
+    """Open or create a store. The first process writes; later ones read.
 
-    `size` is the most bytes that its file may take. A `durable` one is synced at each commit, and made anew
-    first where this process writes. Raises StoreError.
+    `size` is the maximum file size in bytes. A `durable` store is synced at each commit, and rebuilt first if
+    this process writes. Raises StoreError.
     """
     with _translate_errors("open"):
         path.parent.mkdir(parents=True, exist_ok=True)
@@ -227,17 +227,17 @@
 
 
 def inspect(path: Path) -> Stored:
-    """What a store holds, read by a child so that a rotten one ends the child alone; raises StoreError.
+    """Return the records of a store, for tools; works while a balancer uses the store. Raises StoreError.
 
-    For tools: it works beside a running balancer.
+    A child process reads the file, since a corrupted one can crash its reader.
     """
     if not path.exists():
         raise StoreError(f"{path}: no such store")
     with tempfile.TemporaryDirectory() as directory, _translate_errors("read"):
         copy = Path(directory) / "copy"
-        verdict, why = _in_child(lambda: _copy(path, copy, lock=True, keep_all=True))
+        verdict, reason = _in_child(lambda: _copy(path, copy, lock=True, keep_all=True))
         if verdict is not Verdict.SOUND:
-            raise StoreError(f"{path}: cannot be read: {why}")
+            raise StoreError(f"{path}: cannot be read: {reason}")
         environment = _open(copy, 0, sync=False, write=False)
         try:
             return _read(environment)
@@ -246,28 +246,28 @@
 
 
 def rebuild(path: Path, size: int) -> Rebuild | None:
-    """Make a store anew from its sound records. The caller holds the writer's lock.
+    """Rebuild a store from its valid records; None if none was lost. The caller holds the write lock.
 
-    A store that cannot be read is set aside as `NAME.bad`, one that a later release wrote as `NAME.newer`; in
-    both cases what starts is empty. Raises OSError.
+    An unreadable store is renamed to `NAME.bad`, one of a later release to `NAME.newer`; an empty store
+    replaces it. Raises OSError.
     """
-    fresh = path.with_name(path.name + ".new")
-    remove_files(fresh)
-    verdict, why = _in_child(lambda: _copy(path, fresh, size))
+    new_path = path.with_name(path.name + ".new")
+    remove_files(new_path)
+    verdict, reason = _in_child(lambda: _copy(path, new_path, size))
     if verdict in (Verdict.SOUND, Verdict.FULL):
         remove_files(path, keep=True)
-        os.replace(fresh, path)
-        remove_files(fresh)
-        return Rebuild(verdict, reason=why) if why else None
-    remove_files(fresh)
-    aside = path.with_name(path.name + (".newer" if verdict is Verdict.NEWER else ".bad"))
-    os.replace(path, aside)
+        os.replace(new_path, path)
+        remove_files(new_path)
+        return Rebuild(verdict, reason=reason) if reason else None
+    remove_files(new_path)
+    quarantined_path = path.with_name(path.name + (".newer" if verdict is Verdict.NEWER else ".bad"))
+    os.replace(path, quarantined_path)
     remove_files(path)
-    return Rebuild(verdict, str(aside), why)
+    return Rebuild(verdict, str(quarantined_path), reason)
 
 
 def remove_files(path: Path, *, keep: bool = False) -> None:
-    """Delete a store's file (or `keep` it) and LMDB's lock file beside it."""
+    """Delete LMDB's lock file and, unless `keep` is set, the store's file."""
     for name in ([] if keep else [path]) + [path.with_name(path.name + "-lock")]:
         with contextlib.suppress(FileNotFoundError):
             name.unlink()
@@ -276,11 +276,10 @@
 def _copy(
     source: Path, target: Path, size: int | None = None, *, lock: bool = False, keep_all: bool = False
 ) -> tuple[Verdict, str]:
-    """Write the sound records of a store into a fresh one. Runs in a child.
+    """Copy the valid records of a store into a new one. Runs in a child process.
 
-    In this order, so that a smaller size costs the least first: the list, its servers, what was learned,
-    those that left. With `keep_all` records that cannot be used are copied too, to be looked at; with `lock`
-    others may write meanwhile.
+    Records are written by importance, in case the new size is too small: the list, its servers, health, and
+    servers that left. `keep_all` copies invalid records too; `lock` allows concurrent writes to the source.
     """
     try:
         old = _open(source, 0, sync=False, write=False, lock=lock)
@@ -289,28 +288,28 @@
     except lmdb.Error as exc:
         return Verdict.UNREADABLE, str(exc)
     stored = Stored()
-    good: list[tuple[int, bytes, bytes]] = []
+    valid: list[tuple[int, bytes, bytes]] = []
     for key, value in pairs:
-        before = len(stored.rejected)
+        rejected_before = len(stored.rejected)
         records.load_pair(stored, key, value)
-        if keep_all or len(stored.rejected) == before:
-            good.append((_rank(key, stored), key, value))
+        if keep_all or len(stored.rejected) == rejected_before:
+            valid.append((_rank(key, stored), key, value))
     if stored.newer_schema and not keep_all:
         return Verdict.NEWER, f"schema {stored.newer_schema} is newer than {records.SCHEMA}"
-    good.sort(key=lambda entry: entry[0])
+    valid.sort(key=lambda entry: entry[0])
     new = _open(target, size or max(1 << 20, 4 * source.stat().st_size), sync=False, write=True)
-    verdict, why = Verdict.SOUND, "; ".join(stored.rejected[:3])
+    verdict, reason = Verdict.SOUND, "; ".join(stored.rejected[:3])
     try:
-        # In pieces: a transaction that meets the end of the store is lost whole.
-        for start in range(0, len(good), 256):
+        # Written in batches: a transaction that fills the store is lost entirely.
+        for start in range(0, len(valid), 256):
             with new.begin(write=True) as transaction:
-                for _, key, value in good[start : start + 256]:
+                for _, key, value in valid[start : start + 256]:
                     transaction.put(key, value)
     except lmdb.MapFullError:
-        verdict, why = Verdict.FULL, f"{len(good)} records are more than its size holds"
+        verdict, reason = Verdict.FULL, f"{len(valid)} records exceed the configured size"
     new.sync(True)
     new.close()
-    return verdict, why
+    return verdict, reason
 
 
 def _rank(key: bytes, stored: Stored) -> int:
@@ -323,68 +322,68 @@
 
 
 def _in_child(work: Callable[[], tuple[Verdict, str]]) -> tuple[Verdict, str]:
-    """Run `work` in a child process; a signal that ends it, or silence, is an unreadable store."""
-    ours, theirs = os.pipe()
+    """Run `work` in a child process; one that crashes or times out means an unreadable store."""
+    read_end, write_end = os.pipe()
     child = os.fork()
     if child == 0:  # pragma: no cover - another process
         code = int(Verdict.UNREADABLE)
-        faulthandler.disable()  # a signal that ends it is an answer, not a fault to print
+        faulthandler.disable()  # a crash is an expected result here: print no traceback
         try:
-            verdict, why = work()
-            os.write(theirs, why.encode("utf-8", "replace")[:4_000])
+            verdict, reason = work()
+            os.write(write_end, reason.encode("utf-8", "replace")[:4_000])
             code = int(verdict)
         except BaseException as exc:
             with contextlib.suppress(OSError):
-                os.write(theirs, f"{type(exc).__name__}: {exc}".encode()[:4_000])
+                os.write(write_end, f"{type(exc).__name__}: {exc}".encode()[:4_000])
         finally:
             os._exit(code)
-    os.close(theirs)
+    os.close(write_end)
     status = _wait(child)
-    with os.fdopen(ours, "rb") as pipe:
-        os.set_blocking(ours, False)
-        why = (pipe.read() or b"").decode("utf-8", "replace")
+    with os.fdopen(read_end, "rb") as pipe:
+        os.set_blocking(read_end, False)
+        reason = (pipe.read() or b"").decode("utf-8", "replace")
     if os.WIFSIGNALED(status):
-        return Verdict.UNREADABLE, f"reading it ended with {signal.Signals(os.WTERMSIG(status)).name}"
+        return Verdict.UNREADABLE, f"reader process ended by {signal.Signals(os.WTERMSIG(status)).name}"
     code = os.WEXITSTATUS(status)
-    known = code in [verdict.value for verdict in Verdict]
-    return Verdict(code) if known else Verdict.UNREADABLE, why
+    is_known = code in [verdict.value for verdict in Verdict]
+    return Verdict(code) if is_known else Verdict.UNREADABLE, reason
 
 
 def _wait(child: int) -> int:
-    """The child's status; it is killed after CHILD_TIMEOUT_S."""
-    end = time.monotonic() + CHILD_TIMEOUT_S
+    """Return the child's exit status; it is killed after CHILD_TIMEOUT_S."""
+    deadline = time.monotonic() + CHILD_TIMEOUT_S
     while True:
-        done, status = os.waitpid(child, os.WNOHANG)
-        if done:
+        finished, status = os.waitpid(child, os.WNOHANG)
+        if finished:
             return status
-        if time.monotonic() >= end:
+        if time.monotonic() >= deadline:
             os.kill(child, signal.SIGKILL)
             return os.waitpid(child, 0)[1]
         time.sleep(0.001)
 
 
 def replace_store(stored: Iterable[tuple[bytes, bytes]], path: Path, size: int) -> None:
-    """Write a store from pairs, beside it first and then in its place; raises StoreError."""
-    fresh = path.with_name(path.name + ".new")
-    remove_files(fresh)
+    """Replace a store atomically by one with these pairs; raises StoreError."""
+    new_path = path.with_name(path.name + ".new")
+    remove_files(new_path)
     with _translate_errors("write"):
-        environment = _open(fresh, size, sync=True, write=True)
+        environment = _open(new_path, size, sync=True, write=True)
         with environment.begin(write=True) as transaction:
             for key, value in stored:
                 transaction.put(key, value)
         environment.close()
         remove_files(path, keep=True)
-        os.replace(fresh, path)
-        remove_files(fresh)
+        os.replace(new_path, path)
+        remove_files(new_path)
 
 
 @contextmanager
 def exclusive_writer(path: Path) -> Iterator[None]:
-    """Be the process that writes; raises StoreError where a balancer is."""
+    """Hold the write lock; raises StoreError while a balancer holds it."""
     with _translate_errors("lock"):
         lock = _take_lock(path)
     if lock is None:
-        raise StoreError(f"{path}: a balancer writes there; stop it first")
+        raise StoreError(f"{path}: a running balancer holds the write lock; stop it first")
     try:
         yield
     finally:
@@ -392,6 +391,6 @@
 
 
 def free_bytes(path: Path) -> int:
-    """Bytes free where a store is, for `puffinford state verify`."""
-    found = os.statvfs(path.parent)
-    return found.f_bavail * found.f_frsize
+    """Return the free bytes of the file system of a store."""
+    statistics = os.statvfs(path.parent)
+    return statistics.f_bavail * statistics.f_frsize
--- a/puffinford/state/timeline.py
+++ b/puffinford/state/timeline.py
@@ -1,7 +1,7 @@
-"""The times of a store: Unix ms as its first process in a boot of the machine counted them.
+"""The time base of a store: Unix ms, as counted by its first process since the host booted.
 
-They go by the system's monotonic clock (clock_gettime(2), CLOCK_MONOTONIC), which all processes of a boot
-share. So a wall clock that is stepped, within a process or between two, changes no age of what is kept.
+It advances with the system's monotonic clock (clock_gettime(2), CLOCK_MONOTONIC), which all processes of a
+boot share. Stepping the wall clock, within a process or between two, therefore changes no age of stored data.
 """
 
 from __future__ import annotations
@@ -13,14 +13,12 @@
 from puffinford.state.records import Stored
 from puffinford.state.trust import CLOCK_SKEW_TOLERANCE_MS
 
-BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")  # proc(5): a new one at each start of the kernel
-MAX_CLOCK_STEP_MS = (
-    7_200_000.0  # ms; a greater difference is no step of a clock, and what is kept is not relied on
-)
+BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")  # proc(5): a new value at each boot
+MAX_CLOCK_STEP_MS = 7_200_000.0  # a stored time base further off than this is not used
 
 
 def boot_id() -> str:
-    """This boot of the machine; empty where it cannot be told."""
+    """Return the id of the current boot; empty where it cannot be read."""
     try:
         return BOOT_ID_PATH.read_text(encoding="ascii").strip()
     except (OSError, ValueError):
@@ -28,26 +26,26 @@
 
 
 class Timeline:
-    """The store's time, beside the host's clock. It begins at the wall clock of now."""
+    """The store's time relative to the process clock. It starts at the current wall clock time."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self.boot_id = boot_id()
-        self.offset = time.time() * 1_000.0 - clock.now()  # the store's time less the host's, in ms
+        self.offset = time.time() * 1_000.0 - clock.now()  # the store's time minus the process clock's, in ms
 
     @property
     def monotonic_offset(self) -> float:
-        """The store's time less the system's monotonic clock, in ms."""
+        """The store's time minus the system's monotonic clock, in ms."""
         return self.offset + self._clock.anchor
 
     def now(self) -> float:
-        """Now, in the store's time."""
+        """Return the current time of the store, in Unix ms."""
         return self._clock.now() + self.offset
 
     def resume(self, stored: Stored) -> bool:
-        """Go on with the time of a store that was written in this boot; tells whether it is one.
+        """Adopt the time base of a store written in this boot; return whether it was.
 
-        What was confirmed at a time to come was written under another monotonic clock, whatever its boot.
+        A list confirmed in the future was written by a different monotonic clock, even with the same boot id.
         """
         if not stored.boot_id or stored.boot_id != self.boot_id:
             return False
--- a/puffinford/state/trust.py
+++ b/puffinford/state/trust.py
@@ -1,4 +1,4 @@
-"""How far what was kept can be relied on, by its age. No I/O, no clock: ages and times are given, in ms."""
+"""How far stored data is trusted, by its age. No I/O, no clock: ages and times are parameters, in ms."""
 
 from __future__ import annotations
 
@@ -7,23 +7,17 @@
 
 from puffinford.interface import Health
 
-TRUSTED_LIST_AGE_MS = (
-    10_000.0  # a list no older than this is used as if told now: nothing in it has to prove itself
-)
-CLOCK_SKEW_TOLERANCE_MS = (
-    5_000.0  # a time so little ahead of now is another machine's clock, not one that was set back
-)
-FUTURE_TIMESTAMP_AGE_MS = 3_600_000.0  # the age given to what was kept at a time that has not come yet
-UNVERIFIED_ENTRIES_PER_ATTEMPT = 4.0  # of the entries, at most one in so many is tried at once
-MIN_UNVERIFIED_ATTEMPTS = 2  # entries tried at once while there is any trust
-CAPACITY_ESTIMATE_TTL_MS = (
-    30_000.0  # what late messages told of a server's room, as long as the module holds it
-)
+TRUSTED_LIST_AGE_MS = 10_000.0  # entries of a list no older than this need no verification
+CLOCK_SKEW_TOLERANCE_MS = 5_000.0  # a timestamp this little in the future is attributed to clock skew
+FUTURE_TIMESTAMP_AGE_MS = 3_600_000.0  # the age assumed for data confirmed further in the future
+UNVERIFIED_ENTRIES_PER_ATTEMPT = 4.0  # unverified entries for each concurrent attempt, at full trust
+MIN_UNVERIFIED_ATTEMPTS = 2  # concurrent attempts while there is any trust
+CAPACITY_ESTIMATE_TTL_MS = 30_000.0  # the same lifetime as in the decision module
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptLimits:
-    """How unproven entries may be tried: claims out at once (0: any number), and ms for each."""
+    """Limits for unverified entries: concurrent attempts (0: no limit), and the timeout of each in ms."""
 
     max_attempts: int
     attempt_timeout: float
@@ -31,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrustSettings:
-    """The operators' figures, in ms; see `section state`."""
+    """The operators' settings, in ms; see `section state`."""
 
     fresh_age: float = 60_000.0
     untrusted_age: float = 86_400_000.0
@@ -41,32 +35,28 @@
 
 
 def age(confirmed: float, now: float) -> float:
-    """The age of what was confirmed at that time.
+    """Return the age in ms of data confirmed at that time.
 
-    Guards against a clock that was set back: an age below zero says that it is not known, and it counts as
-    an old one.
+    A timestamp in the future means that the clock was set back: the age is unknown, and assumed to be large.
     """
     if now >= confirmed:
         return now - confirmed
     return 0.0 if confirmed - now <= CLOCK_SKEW_TOLERANCE_MS else FUTURE_TIMESTAMP_AGE_MS
 
 
-def trust_level(old: float, settings: TrustSettings) -> float:
-    """The trust in a list of that age, 1 to 0: it falls with the logarithm of the age.
-
-    Lists go out of date like most things: what has stood for a week mostly stands for another day.
-    """
-    if old <= settings.fresh_age:
+def trust_level(list_age: float, settings: TrustSettings) -> float:
+    """Return the trust in a list of that age in ms, from 1 to 0, falling with the logarithm of the age."""
+    if list_age <= settings.fresh_age:
         return 1.0
-    if old >= settings.untrusted_age:
+    if list_age >= settings.untrusted_age:
         return 0.0
-    fresh = max(settings.fresh_age, 1.0)
-    return 1.0 - math.log(old / fresh) / math.log(settings.untrusted_age / fresh)
+    fresh_age = max(settings.fresh_age, 1.0)
+    return 1.0 - math.log(list_age / fresh_age) / math.log(settings.untrusted_age / fresh_age)
 
 
-def attempt_limits(old: float, entries: int, settings: TrustSettings) -> AttemptLimits:
-    """The terms for a list of that age that names so many servers."""
-    level = trust_level(old, settings)
+def attempt_limits(list_age: float, entries: int, settings: TrustSettings) -> AttemptLimits:
+    """Return the limits for a list of that age in ms with that number of entries."""
+    level = trust_level(list_age, settings)
     attempt_timeout = (
         settings.old_list_attempt_timeout
         * (settings.attempt_timeout / settings.old_list_attempt_timeout) ** level
@@ -82,18 +72,19 @@
 
 
 def discard_expired(health: Health, now: float, settings: TrustSettings) -> Health | None:
-    """What is still worth telling of one server; None where nothing is.
+    """Return the health of a server without its expired fields; None when nothing is left.
 
-    Each item has its own time: a server slow two seconds ago is still slow, of two minutes ago it is not.
+    Each field has its own lifetime: a server that was slow two seconds ago still counts as slow, one that was
+    slow two minutes ago does not.
     """
-    old = age(health.observed_at, now)
-    if old > settings.health_ttl or health.observed_at > now + CLOCK_SKEW_TOLERANCE_MS:
+    health_age = age(health.observed_at, now)
+    if health_age > settings.health_ttl or health.observed_at > now + CLOCK_SKEW_TOLERANCE_MS:
         return None
     slow = health.slow_until > now
     capacity_estimate = (
         health.capacity_estimate if now < health.capacity_estimated_at + CAPACITY_ESTIMATE_TTL_MS else None
     )
-    left = replace(
+    current = replace(
         health,
         slow_until=health.slow_until if slow else 0.0,
         late_report_at=health.late_report_at if slow else 0.0,
@@ -101,6 +92,6 @@
         capacity_estimate=capacity_estimate,
         capacity_estimated_at=health.capacity_estimated_at if capacity_estimate is not None else 0.0,
     )
-    if not (slow or left.failures or left.cold_since is not None or capacity_estimate is not None):
+    if not (slow or current.failures or current.cold_since is not None or capacity_estimate is not None):
         return None
-    return left
+    return current
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -330,7 +330,7 @@
     (tmp_path / "tmp").mkdir()
     async with harness() as here:
         site = Site(here.tasks, tmp_path, 1)
-        site.tell(site.discovery.address, listen=f"127.0.0.1:{port}")
+        site.write_config(site.discovery.address, listen=f"127.0.0.1:{port}")
         site.operators.write_text(RAPID.format("on"))
         words = ("serve", "--settings", str(site.operators))
         env = {"TMPDIR": str(tmp_path / "tmp"), "EDGE_SOCKET_FD": str(fd), "EDGE_MGMT": "127.0.0.1:0"}
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Stories of a start without discovery, and of discovery that lets its callers down."""
+"""Starts without discovery, and discovery that fails or answers with old lists."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Site:
-    """Stand-in servers and discovery, and the files of one balancer."""
+    """Stand-in servers and discovery, with the files of one balancer."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup, directory: Path, count: int) -> None:
         clock = Clock()
@@ -47,35 +47,37 @@
             server.start()
             self.discovery.registry.put(server.id, addr=server.address)
         self.discovery.become("sound")
-        self.tell(self.discovery.address)
+        self.write_config(self.discovery.address)
 
-    def tell(self, discovery: str, **more: Any) -> None:
-        told = {"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery, "mgmt": "127.0.0.1:0"}
+    def write_config(self, discovery: str, **more: Any) -> None:
+        fields = {"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery, "mgmt": "127.0.0.1:0"}
         facts = {**FACTS, "discovery": "subscribe", "permissions": {"connect_timeout": 120.0}}
-        self.config.write_text(json.dumps({**told, "settings": facts, **more}))
+        self.config.write_text(json.dumps({**fields, "settings": facts, **more}))
 
     def program(self) -> Any:
         return program(self.config, "serve", "--settings", str(self.operators))
 
-    async def client(self, port: int, job: str) -> bytes:
+    async def client(self, port: int, request_id: str) -> bytes:
         peer = Peer(await anyio.connect_tcp("127.0.0.1", port))
-        await peer.send_line(opening(job, b"c=price-lookup,d=400"))
+        await peer.send_line(opening(request_id, b"c=price-lookup,d=400"))
         return await peer.line()
 
 
-async def has_logged(running: Program, *patterns: bytes) -> None:
+async def wait_for_logs(running: Program, *patterns: bytes) -> None:
     for pattern in patterns:
         await running.wait_for_log(pattern)
 
 
-async def test_a_killed_balancer_starts_from_its_store_and_obeys_the_drain_told_last(tmp_path: Path) -> None:
+async def test_a_killed_balancer_starts_from_its_store_and_obeys_the_drain_announced_last(
+    tmp_path: Path,
+) -> None:
     async with harness() as here:
         site = Site(here.tasks, tmp_path, 3)
         async with site.program() as first:
-            await has_logged(first, b"list=replace")
+            await wait_for_logs(first, b"list=replace")
             site.discovery.put("s-1", state="leaving")
             site.discovery.put("s-2", state="left")
-            await has_logged(first, b"server=s-2 state=gone")
+            await wait_for_logs(first, b"server=s-2 state=gone")
             for _ in range(200):
                 stored = inspect(tmp_path / "puffinford.n1.state")
                 if {record.state for record, _ in stored.servers.values()} == {"active", "leaving", "left"}:
@@ -84,12 +86,12 @@
             first.process.kill()
         site.discovery.become("absent")
         async with site.program() as second:
-            await has_logged(second, b"event=restored source=store entries=2 .*at_once=any")
+            await wait_for_logs(second, b"event=restored source=store entries=2 .*at_once=any")
             port = await second.port(b"lines")
             for n in range(6):
                 assert (await site.client(port, f"0{n}")).startswith(b"UP r-s-0-")
             site.discovery.become("sound")
-            await has_logged(second, b"event=discovery version=5")
+            await wait_for_logs(second, b"event=discovery version=5")
             second.process.kill()
 
 
@@ -99,39 +101,39 @@
         site = Site(here.tasks, tmp_path, 2)
         async with site.program() as running:
             port = await running.port(b"lines")
-            await has_logged(running, b"list=replace")
+            await wait_for_logs(running, b"list=replace")
             site.discovery.become(mode)
             if mode != "hung":
-                await has_logged(running, b'event="discovery failed"')
+                await wait_for_logs(running, b'event="discovery failed"')
             assert (await site.client(port, "0a")).startswith(b"UP")
             site.discovery.put("s-1", state="leaving")
             site.discovery.become("sound")
-            await has_logged(running, b"server=s-1 state=draining")
+            await wait_for_logs(running, b"server=s-1 state=draining")
             for n in range(4):
                 assert (await site.client(port, f"1{n}")).startswith(b"UP r-s-0-")
             running.process.kill()
 
 
-async def test_an_older_answer_is_doubted_and_taken_when_it_is_repeated(tmp_path: Path) -> None:
+async def test_an_older_answer_is_suspect_and_accepted_when_repeated(tmp_path: Path) -> None:
     async with harness() as here:
         site = Site(here.tasks, tmp_path, 2)
         async with site.program() as first:
-            await has_logged(first, b"list=replace")
+            await wait_for_logs(first, b"list=replace")
             first.process.send_signal(signal.SIGINT)
             await first.process.wait()
         site.discovery.become("older")
         async with site.program() as second:
-            await has_logged(second, b"source=store", b'event="discovery suspect" why="version 1 after 2"')
-            await has_logged(second, b"event=discovery version=1", b"list=replace")
+            await wait_for_logs(second, b"source=store", b'event="discovery suspect" why="version 1 after 2"')
+            await wait_for_logs(second, b"event=discovery version=1", b"list=replace")
             second.process.kill()
 
 
 async def test_discovery_at_another_address_with_another_list_takes_everybody_over(tmp_path: Path) -> None:
-    """Started from a store, discovery absent; SIGHUP names another, with a list that shares nothing."""
+    """After a start from the store, SIGHUP changes to a discovery with an entirely different list."""
     async with harness() as here:
         site = Site(here.tasks, tmp_path, 1)
         async with site.program() as first:
-            await has_logged(first, b"list=replace")
+            await wait_for_logs(first, b"list=replace")
             first.process.send_signal(signal.SIGINT)
             await first.process.wait()
         site.discovery.become("absent")
@@ -143,19 +145,19 @@
         fresh.start()
         other.discovery.registry.put("x-1", addr=fresh.address)
         async with site.program() as second:
-            await has_logged(second, b"source=store")
+            await wait_for_logs(second, b"source=store")
             port = await second.port(b"lines")
-            standing = Peer(await anyio.connect_tcp("127.0.0.1", port))
-            await standing.send_line(opening("0a", b"c=price-lookup,d=400"))
-            assert (await standing.line()).startswith(b"UP r-s-0-")
-            site.tell(other.discovery.address)
+            established = Peer(await anyio.connect_tcp("127.0.0.1", port))
+            await established.send_line(opening("0a", b"c=price-lookup,d=400"))
+            assert (await established.line()).startswith(b"UP r-s-0-")
+            site.write_config(other.discovery.address)
             second.process.send_signal(signal.SIGHUP)
-            assert [await standing.line(), await standing.line()] == [b"MOVE\r\n", b"FIN"]
+            assert [await established.line(), await established.line()] == [b"MOVE\r\n", b"FIN"]
             assert (await site.client(port, "0b")).startswith(b"UP r-x-1-")
             second.process.kill()
 
 
-async def test_a_new_version_knows_at_its_yes_which_servers_are_down(tmp_path: Path) -> None:
+async def test_a_new_version_knows_when_ready_which_servers_are_unreachable(tmp_path: Path) -> None:
     import socket
 
     platform = socket.create_server(("127.0.0.1", 0))
@@ -163,15 +165,15 @@
     (tmp_path / "tmp").mkdir()
     async with harness() as here:
         site = Site(here.tasks, tmp_path, 3)
-        site.tell(site.discovery.address, listen=f"127.0.0.1:{port}")
+        site.write_config(site.discovery.address, listen=f"127.0.0.1:{port}")
         env = {"TMPDIR": str(tmp_path / "tmp"), "EDGE_SOCKET_FD": str(fd), "EDGE_MGMT": "127.0.0.1:0"}
         async with program(site.config, fds=[fd], **env) as old:
             site.servers[1].become("resetting")
-            await has_logged(old, b"list=replace")
-            job = 0
+            await wait_for_logs(old, b"list=replace")
+            request_id = 0
             while b"result=reset" not in old._log:
-                job += 1
-                await site.client(port, f"{job:x}")
+                request_id += 1
+                await site.client(port, f"{request_id:x}")
                 with anyio.move_on_after(0.02):
                     await old.wait_for_log(b'event="attempt ended" .*result=reset')
                     break
@@ -179,17 +181,17 @@
                 address = await new.port(b"management")
                 while (await http_call(address, "GET /admin/health"))[0] != 200:
                     await anyio.sleep(0.01)
-                await has_logged(new, b'event="took over" learned=s-1')
+                await wait_for_logs(new, b'event="took over" learned=s-1')
                 assert "servers_excluded:1|g" in (await http_call(address, "GET /admin/stats"))[1]
                 old.process.send_signal(signal.SIGTERM)
-                await has_logged(new, b'event="state writer"')
+                await wait_for_logs(new, b'event="state writer"')
                 assert await old.process.wait() == 0
                 new.process.kill()
     platform.close()
 
 
-async def another_process(peer: Peer) -> None:
-    """Whoever listens at that address now speaks something else."""
+async def other_protocol(peer: Peer) -> None:
+    """The address now belongs to a process with another protocol."""
     await peer.line()
     await peer.stream.send(b"HTTP/1.1 400 Bad Request\r\n\r\n")
 
@@ -199,15 +201,15 @@
     await peer.line()
 
 
-def start_of(here: Harness, machines: list[ServerEntry], old_ms: float) -> StartState:
-    known = ServerEntries(1, True, machines)
-    return build_start_state(None, known, here.clock.now(), 0.0, TrustSettings(), old_ms)
+def start_state(here: Harness, entries: list[ServerEntry], age_ms: float) -> StartState:
+    known = ServerEntries(1, True, entries)
+    return build_start_state(None, known, here.clock.now(), 0.0, TrustSettings(), age_ms)
 
 
-@pytest.mark.parametrize("old_ms", [60_000.0, 3_600_000.0, 90_000_000.0], ids=["1min", "1h", "25h"])
-@pytest.mark.parametrize("dead", [None, silent, another_process, answering(rst=True)])
-async def test_dead_entries_of_an_old_list_cost_a_client_one_short_claim(dead: Any, old_ms: float) -> None:
-    """Half of the entries refuse, are silent, reset, or are another process by now."""
+@pytest.mark.parametrize("age_ms", [60_000.0, 3_600_000.0, 90_000_000.0], ids=["1min", "1h", "25h"])
+@pytest.mark.parametrize("dead", [None, silent, other_protocol, answering(rst=True)])
+async def test_dead_entries_of_an_old_list_cost_a_client_one_short_attempt(dead: Any, age_ms: float) -> None:
+    """Half of the entries refuse, are silent, reset, or belong to another process."""
     async with harness() as here:
         ports = {}
         for n in range(6):
@@ -219,8 +221,8 @@
                 await script(Peer(stream))
 
             ports[n] = await here.listen(play)
-        machines = [ServerEntry(Server(f"s-{n}"), "127.0.0.1", ports.get(n, 9)) for n in range(6)]
-        restored: RestoredState = start_of(here, machines, old_ms).restored
+        entries = [ServerEntry(Server(f"s-{n}"), "127.0.0.1", ports.get(n, 9)) for n in range(6)]
+        restored: RestoredState = start_state(here, entries, age_ms).restored
         here.exchange._apply_list(restored.entries, ListKind.RESTORED)
         from puffinford import interface as it
 
@@ -231,13 +233,11 @@
         for n in range(12):
             client = await here.client(opening(f"{n:x}"))
             answer = await client.line()
-            assert answer == b"UP r1\r\n" or (old_ms > 86_400_000.0 and answer.startswith(b"BUSY")), answer
+            assert answer == b"UP r1\r\n" or (age_ms > 86_400_000.0 and answer.startswith(b"BUSY")), answer
 
 
-async def test_the_measured_story_in_short(tmp_path: Path) -> None:
-    """Ten listed, half dead, one draining, discovery absent: what no run may show, whatever the machine's
-    speed.
-    """
+async def test_a_short_run_of_the_benchmark_keeps_the_rules(tmp_path: Path) -> None:
+    """With dead and draining entries and no discovery, the rules hold at any speed of the host."""
     result = await anyio.to_thread.run_sync(story.run, 3.5, 3, 3_600_000.0, tmp_path)
     assert not result.broken and not result.to_draining and not result.dead_paid_twice
     assert result.up > 0
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Stories of the store: killed writers, rot, full disks, two processes, newer releases."""
+"""The store: killed writers, corruption, full disks, concurrent processes, newer releases."""
 
 from __future__ import annotations
 
@@ -35,58 +35,58 @@
 NOW = 1_800_000_000_000.0
 
 
-def entry(ident: str, state: str = "active", version: int = 1) -> tuple[bytes, bytes]:
+def server_pair(ident: str, state: str = "active", version: int = 1) -> tuple[bytes, bytes]:
     record = ServerRecord(ident, "127.0.0.1", 80, "lines", state, version)
     return server_key(ident), encode(server_key(ident), record, NOW)
 
 
-def whole(entries: int, version: int = 1) -> tuple[bytes, bytes]:
+def list_pair(entries: int, version: int = 1) -> tuple[bytes, bytes]:
     return LIST_KEY, encode(LIST_KEY, ListRecord(version, entries), NOW)
 
 
-def filled(path: Path, count: int = 20, durable: bool = False) -> Store:
+def create_store(path: Path, count: int = 20, durable: bool = False) -> Store:
     made, _ = open_store(path, SIZE, durable=durable)
-    made.write(dict([whole(count), *(entry(f"s-{n}") for n in range(count))]))
+    made.write(dict([list_pair(count), *(server_pair(f"s-{n}") for n in range(count))]))
     return made
 
 
-def keeper(path: Path, learned: list[Health] | None = None, **settings: float) -> StateKeeper:
-    told = StateSettings(**settings)  # type: ignore[arg-type]
-    return StateKeeper(told, (path, False), SettableClock(), lambda: learned or [], lambda _: None)
+def create_keeper(path: Path, learned: list[Health] | None = None, **settings: float) -> StateKeeper:
+    state_settings = StateSettings(**settings)  # type: ignore[arg-type]
+    return StateKeeper(state_settings, (path, False), SettableClock(), lambda: learned or [], lambda _: None)
 
 
-def listed(*idents: str, version: int = 1, full: bool = True, state: str = "live") -> ServerEntries:
-    machines = [ServerEntry(Server(ident, state=ServerState(state)), "127.0.0.1", 1) for ident in idents]
-    return ServerEntries(version, full, machines)
+def server_list(*idents: str, version: int = 1, full: bool = True, state: str = "live") -> ServerEntries:
+    entries = [ServerEntry(Server(ident, state=ServerState(state)), "127.0.0.1", 1) for ident in idents]
+    return ServerEntries(version, full, entries)
 
 
-def python(code: str, *words: str, **more: object) -> subprocess.Popen[bytes]:
-    return subprocess.Popen([sys.executable, "-c", textwrap.dedent(code), *words], **more)  # type: ignore[call-overload,no-any-return]
+def run_python(code: str, *arguments: str, **options: object) -> subprocess.Popen[bytes]:
+    return subprocess.Popen([sys.executable, "-c", textwrap.dedent(code), *arguments], **options)  # type: ignore[call-overload,no-any-return]
 
 
 WRITER = """
     import sys
     from pathlib import Path
-    from tests.test_store import entry, whole
+    from tests.test_store import list_pair, server_pair
     from puffinford.state.store import open_store
     made, _ = open_store(Path(sys.argv[1]), 1 << 20, durable=sys.argv[2] == "durable")
     turn = 0
     print("ready", flush=True)
     while True:
         turn += 1
-        made.write(dict([whole(50, turn), *(entry(f"s-{n}", version=turn) for n in range(50))]))
+        made.write(dict([list_pair(50, turn), *(server_pair(f"s-{n}", version=turn) for n in range(50))]))
 """
 
 
 @pytest.mark.parametrize("kind", ["durable", "shared"])
 def test_a_writer_killed_at_any_moment_leaves_its_last_commit(tmp_path: Path, kind: str) -> None:
-    """SIGKILL over many offsets of a write: what is read is one commit, whole."""
+    """A SIGKILL during a write must leave exactly one complete commit."""
     path, rng = tmp_path / "state", Random(5)
     last = 0
     for _ in range(12):
-        writer = python(WRITER, str(path), kind, stdout=subprocess.PIPE)
+        writer = run_python(WRITER, str(path), kind, stdout=subprocess.PIPE)
         assert writer.stdout is not None and writer.stdout.readline() == b"ready\n"
-        time.sleep(rng.uniform(0.0, 0.03))  # any offset will do: no verdict hangs on which
+        time.sleep(rng.uniform(0.0, 0.03))  # the assertions hold for any moment
         writer.kill()
         writer.wait()
         writer.stdout.close()
@@ -99,10 +99,10 @@
         last = stored.version
 
 
-def test_rot_costs_the_record_or_the_store_and_never_the_start(tmp_path: Path) -> None:
-    """Bytes changed all over the file, and a file cut short: the pages of LMDB among them."""
+def test_corruption_costs_the_record_or_the_store_and_never_the_start(tmp_path: Path) -> None:
+    """Corrupted bytes anywhere, LMDB's own pages included, or a truncated file must not prevent a start."""
     path, rng = tmp_path / "state", Random(9)
-    filled(path, 200, durable=True).close()
+    create_store(path, 200, durable=True).close()
     sound = path.read_bytes()
     verdicts = set()
     for turn in range(40):
@@ -116,7 +116,7 @@
         made, rebuild = open_store(path, SIZE, durable=True)
         stored = made.read()
         assert all(record.id.startswith("s-") and record.port == 80 for record, _ in stored.servers.values())
-        assert made.write(dict([entry("s-new")])) > 0, "it can be written whatever was in it"
+        assert made.write(dict([server_pair("s-new")])) > 0, "a rebuilt store accepts writes"
         made.close()
         verdicts.add(rebuild.verdict if rebuild else None)
         if rebuild and rebuild.verdict is Verdict.UNREADABLE:
@@ -124,8 +124,8 @@
     assert Verdict.UNREADABLE in verdicts and len(verdicts) > 1
 
 
-def test_a_changed_or_moved_record_is_found_out() -> None:
-    key, value = entry("s-1")
+def test_a_corrupted_or_moved_record_is_detected() -> None:
+    key, value = server_pair("s-1")
     for at in range(len(value)):
         changed = bytearray(value)
         changed[at] ^= 0x41
@@ -139,8 +139,8 @@
 
 def test_a_store_of_a_newer_release_is_set_aside_whole(tmp_path: Path) -> None:
     path = tmp_path / "state"
-    made = filled(path)
-    key, _ = entry("s-3")
+    made = create_store(path)
+    key, _ = server_pair("s-3")
     made.write({key: encode(key, ServerRecord("s-3", "h", 1, "lines", "active", 1), NOW, schema=9)})
     made.close()
     made, rebuild = open_store(path, SIZE, durable=True)
@@ -152,27 +152,27 @@
 
 def test_one_process_writes_and_the_next_takes_over(tmp_path: Path) -> None:
     path = tmp_path / "state"
-    first = filled(path)
+    first = create_store(path)
     code = """
         import sys
         from pathlib import Path
-        from tests.test_store import entry
+        from tests.test_store import server_pair
         from puffinford.state.store import StoreError, open_store
         made, _ = open_store(Path(sys.argv[1]), 1 << 20, durable=False)
         assert not made.is_writer and not made.acquire_write_lock() and len(made.read().servers) == 20
         try:
-            made.write(dict([entry("x")]))
+            made.write(dict([server_pair("x")]))
         except StoreError:
             print("reads", flush=True)
         sys.stdin.readline()
-        assert made.acquire_write_lock() and made.write(dict([entry("x")]))
+        assert made.acquire_write_lock() and made.write(dict([server_pair("x")]))
         print("writes", flush=True)
         sys.stdin.readline()
     """
-    second = python(code, str(path), stdin=subprocess.PIPE, stdout=subprocess.PIPE)
+    second = run_python(code, str(path), stdin=subprocess.PIPE, stdout=subprocess.PIPE)
     assert second.stdin is not None and second.stdout is not None
     assert second.stdout.readline() == b"reads\n"
-    first.write(dict([entry("y")]))
+    first.write(dict([server_pair("y")]))
     first.release_write_lock()
     second.stdin.write(b"\n")
     second.stdin.flush()
@@ -180,7 +180,7 @@
     assert {"x", "y"} <= first.read().servers.keys() and not first.acquire_write_lock()
     second.kill()
     second.wait()
-    assert first.acquire_write_lock(), "a killed writer's lock goes with it"
+    assert first.acquire_write_lock(), "a killed writer's lock is released"
     first.close()
     for pipe in (second.stdin, second.stdout):
         pipe.close()
@@ -190,29 +190,27 @@
 def test_a_store_says_by_which_clock_its_times_are_with_the_first_that_are_written(
     boot: str, tmp_path: Path
 ) -> None:
-    """The list's record stayed the old one for 5 s where the list had not changed."""
-    made = filled(tmp_path / "state", 1)
+    """The list record must carry the new time base at once, though the list itself has not changed."""
+    made = create_store(tmp_path / "state", 1)
     made.write({LIST_KEY: encode(LIST_KEY, ListRecord(1, 1, boot, 7.0), NOW)})
     made.close()
-    kept = keeper(tmp_path / "state")
-    kept.start(None)
-    kept.note_list(listed("s-0", version=1))
-    kept._commit_now()
-    assert kept._store is not None
-    stored = kept._store.read()
-    assert stored.boot_id not in ("", boot) and stored.monotonic_offset == kept._timeline.monotonic_offset
-    kept._store.close()
+    keeper = create_keeper(tmp_path / "state")
+    keeper.start(None)
+    keeper.record_list(server_list("s-0", version=1))
+    keeper._commit_blocking()
+    assert keeper._store is not None
+    stored = keeper._store.read()
+    assert stored.boot_id not in ("", boot) and stored.monotonic_offset == keeper._timeline.monotonic_offset
+    keeper._store.close()
 
 
 @pytest.mark.anyio
 async def test_a_lock_that_cannot_be_opened_for_a_moment_ends_no_process(tmp_path: Path) -> None:
-    """The second process of a balancer ended with its clients when the first had gone, for want of a
-    descriptor.
-    """
+    """A process without a free descriptor for the lock must keep serving, and retry."""
     plan, config = FaultPlan(tmp_path / "plan.json"), tmp_path / "config.json"
-    told = {"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1"}
+    fields = {"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1"}
     known = {"version": 1, "full": True, "servers": [{"id": "s-1", "addr": "127.0.0.1:1"}]}
-    config.write_text(json.dumps({**told, "settings": FACTS, "known": known}))
+    config.write_text(json.dumps({**fields, "settings": FACTS, "known": known}))
     env: dict[str, Any] = {"TMPDIR": str(tmp_path), "FAULT_PLAN": str(plan.path), "PYTHONPATH": str(SEAM)}
     with anyio.fail_after(15):
         async with program(config, **env) as first:
@@ -231,14 +229,14 @@
 async def test_a_store_that_fails_as_it_is_taken_over_is_taken_over_later(
     failing: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Once it could not be opened anew it was written no more, though it could be."""
+    """A failed attempt to become the writer must be retried."""
     path = tmp_path / "state"
-    filled(path).close()
-    lock = store._take_lock(path)  # the process that writes
-    second = keeper(path)
+    create_store(path).close()
+    lock = store._take_lock(path)  # held by the writing process
+    second = create_keeper(path)
     assert lock is not None
 
-    def fail(*given: object, **named: object) -> None:
+    def fail(*args: object, **kwargs: object) -> None:
         raise lmdb.Error(os.strerror(errno.EIO))
 
     async def rounds() -> None:
@@ -252,7 +250,7 @@
         with monkeypatch.context() as patch:
             patch.setattr(store, failing, fail)
             second.start(None)
-            second.note_list(listed("x-1", version=2))
+            second.record_list(server_list("x-1", version=2))
             os.close(lock)
             await rounds()
         await rounds()
@@ -267,8 +265,8 @@
 async def test_a_disk_that_fails_for_a_while_costs_one_line_and_no_change(
     error: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """What is told meanwhile, bad news and good, is written once the disk takes it."""
-    kept = keeper(tmp_path / "state")
+    """Changes during disk errors must be written once the disk works again."""
+    keeper = create_keeper(tmp_path / "state")
     put = Store._put
 
     def fail_half_way(made: Store, pairs: store.Pairs) -> None:
@@ -278,15 +276,15 @@
                 raise lmdb.Error(os.strerror(error))
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(kept.run)
+        tasks.start_soon(keeper.run)
         for turn in range(6):
             monkeypatch.setattr(Store, "_put", fail_half_way if 1 <= turn <= 4 else put)
-            kept.note_list(listed(*(f"s-{n}" for n in range(turn, 8)), version=turn + 1))
+            keeper.record_list(server_list(*(f"s-{n}" for n in range(turn, 8)), version=turn + 1))
             await anyio.wait_all_tasks_blocked()
-            kept._clock.advance(2_000.0)  # type: ignore[attr-defined]
+            keeper._clock.advance(2_000.0)  # type: ignore[attr-defined]
             await anyio.wait_all_tasks_blocked()
-        assert kept._store is not None
-        stored = kept._store.read()
+        assert keeper._store is not None
+        stored = keeper._store.read()
         there = {ident for ident, (record, _) in stored.servers.items() if record.state != "left"}
         assert there == {"s-5", "s-6", "s-7"} and stored.version == 6 and not stored.rejected
         tasks.cancel_scope.cancel()
@@ -297,39 +295,39 @@
     path = tmp_path / "state"
     made, _ = open_store(path, 256 << 10, durable=False)
     with pytest.raises(StoreFullError):
-        made.write(dict(entry(f"server-{n:06}") for n in range(5_000)))
+        made.write(dict(server_pair(f"server-{n:06}") for n in range(5_000)))
     for turn in range(300):
-        made.write(dict(entry(f"server-{n:03}", version=turn) for n in range(100)))
+        made.write(dict(server_pair(f"server-{n:03}", version=turn) for n in range(100)))
     assert made.used_bytes() <= 256 << 10 and path.stat().st_size <= 256 << 10
     assert len(made.read().servers) == 100
     made.close()
 
 
 def test_a_full_disk_is_one_line_and_a_program_that_goes_on(tmp_path: Path) -> None:
-    """The limit on a file's size stands in for a disk without room."""
+    """A full disk, simulated by a file size limit, must not end the process."""
     code = """
         import logging, resource, sys, anyio
         from pathlib import Path
-        from tests.test_store import keeper, listed
+        from tests.test_store import create_keeper, server_list
         logging.basicConfig(level="INFO", format="%(message)s", stream=sys.stdout)
-        kept = keeper(Path(sys.argv[1]), write_every=50.0)
+        keeper = create_keeper(Path(sys.argv[1]), write_every=50.0)
         async def story():
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(kept.run)
+                tasks.start_soon(keeper.run)
                 for turn in range(30):
                     if turn == 3:
                         resource.setrlimit(resource.RLIMIT_FSIZE, (20_000, resource.RLIM_INFINITY))
-                    kept.note_list(listed(*(f"s-{turn}-{n}" for n in range(50)), version=turn + 1))
+                    keeper.record_list(server_list(*(f"s-{turn}-{n}" for n in range(50)), version=turn + 1))
                     for _ in range(5):
                         await anyio.sleep(0)
-                    kept._clock.advance(60.0)
+                    keeper._clock.advance(60.0)
                     for _ in range(5):
                         await anyio.sleep(0)
                 tasks.cancel_scope.cancel()
         anyio.run(story)
         print("went on")
     """
-    done = python(code, str(tmp_path / "state"), stdout=subprocess.PIPE)
+    done = run_python(code, str(tmp_path / "state"), stdout=subprocess.PIPE)
     out = done.communicate()[0].decode()
     assert done.returncode == 0 and out.splitlines()[-1] == "went on"
     assert out.count("state not kept") == 1
@@ -341,7 +339,7 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     for place in (tmp_path, *tmp_path.parents[:2]):
-        place.chmod(0o755)  # or the other user would not get there at all
+        place.chmod(0o755)  # lets the other user reach the directory
     (tmp_path / "closed").mkdir(mode=0o555)
     code = """
         import os, sys
@@ -353,52 +351,52 @@
         except StoreError as exc:
             print(exc)
     """
-    done = python(code, str(tmp_path / "closed/state"), stdout=subprocess.PIPE)
+    done = run_python(code, str(tmp_path / "closed/state"), stdout=subprocess.PIPE)
     assert b"ermission" in done.communicate()[0] and done.returncode == 0
-    kept = keeper(tmp_path / "file" / "state")
+    keeper = create_keeper(tmp_path / "file" / "state")
     (tmp_path / "file").touch()
-    kept = keeper(tmp_path / "file" / "state")
-    assert kept.start(None).source == "nothing"
-    kept.note_list(listed("s-1"))
+    keeper = create_keeper(tmp_path / "file" / "state")
+    assert keeper.start(None).source == "nothing"
+    keeper.record_list(server_list("s-1"))
     assert "state unusable" in caplog.text
 
 
-def test_what_changes_is_gathered_and_what_left_is_remembered_for_a_while(tmp_path: Path) -> None:
+def test_changes_are_collected_and_servers_that_left_are_kept_for_a_while(tmp_path: Path) -> None:
     path = tmp_path / "state"
     learned = [Health("s-1", 0.0, failures=3, retry_at=5.0), Health("s-9", 0.0, failures=1)]
-    kept = keeper(path, learned, forget_after=60_000.0)
-    kept.note_list(listed("s-1", "s-2", "s-3"))
-    kept.note_list(listed("s-2", version=2, full=False, state="draining"))
-    assert kept._urgent.is_set(), "bad news is written at once"
-    kept.note_list(listed("s-1", "s-2", version=3))
-    kept._gather_health()
-    kept._commit_now()
-    assert kept._store is not None
-    stored = kept._store.read()
+    keeper = create_keeper(path, learned, forget_after=60_000.0)
+    keeper.record_list(server_list("s-1", "s-2", "s-3"))
+    keeper.record_list(server_list("s-2", version=2, full=False, state="draining"))
+    assert keeper._write_soon.is_set(), "a drain is written at once"
+    keeper.record_list(server_list("s-1", "s-2", version=3))
+    keeper._collect_health()
+    keeper._commit_blocking()
+    assert keeper._store is not None
+    stored = keeper._store.read()
     states = {ident: record.state for ident, (record, _) in stored.servers.items()}
     assert states == {"s-1": "active", "s-2": "active", "s-3": "left"} and stored.is_complete
     assert stored.version == 3 and set(stored.health) == {"s-1"}
     learned.clear()
-    kept._clock.advance(61_000.0)  # type: ignore[attr-defined]
-    kept._left["s-3"] -= 61_000.0
-    kept._gather_health()
-    kept._forget()
-    kept._commit_now()
-    stored = kept._store.read()
+    keeper._clock.advance(61_000.0)  # type: ignore[attr-defined]
+    keeper._left_at["s-3"] -= 61_000.0
+    keeper._collect_health()
+    keeper._forget_departed()
+    keeper._commit_blocking()
+    stored = keeper._store.read()
     assert set(stored.servers) == {"s-1", "s-2"} and not stored.health
-    kept._store.close()
+    keeper._store.close()
 
 
 @pytest.mark.anyio
 @pytest.mark.parametrize("turns", range(6))
 async def test_the_end_of_the_program_loses_nothing_that_was_noted(tmp_path: Path, turns: int) -> None:
-    """A commit that had been handed to the thread, and not begun, was lost with the program's end."""
-    kept = keeper(tmp_path / "state")
-    kept._slow_commits = True
+    """A commit handed to a thread that has not started must not be lost at the end of the program."""
+    keeper = create_keeper(tmp_path / "state")
+    keeper._commits_in_thread = True
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(kept.run)
+        tasks.start_soon(keeper.run)
         await anyio.wait_all_tasks_blocked()
-        kept.note_list(listed("s-1", state="draining"))
+        keeper.record_list(server_list("s-1", state="draining"))
         for _ in range(turns):
             await anyio.sleep(0)
         tasks.cancel_scope.cancel()
@@ -408,19 +406,19 @@
 
 
 def test_a_known_list_that_discovery_only_adds_to_is_kept_whole(tmp_path: Path) -> None:
-    """The store held the changes alone, and the next version started with three servers of five."""
+    """The store must hold the known list as well as the changes that discovery announces."""
     path = tmp_path / "state"
-    kept = keeper(path)
-    assert kept.start(listed("s-1", "s-2", "s-3", version=4)).source == "known"
-    kept.note_list(listed("s-4", version=5, full=False))
-    kept._commit_now()
-    assert kept._store is not None
-    stored = kept._store.read()
+    keeper = create_keeper(path)
+    assert keeper.start(server_list("s-1", "s-2", "s-3", version=4)).source == "known"
+    keeper.record_list(server_list("s-4", version=5, full=False))
+    keeper._commit_blocking()
+    assert keeper._store is not None
+    stored = keeper._store.read()
     assert set(stored.servers) == {"s-1", "s-2", "s-3", "s-4"} and stored.is_complete and stored.version == 5
-    kept._store.close()
-    again = keeper(path)
-    begun = again.start(listed("s-1", version=2))
-    assert (begun.source, len(begun.restored.entries.entries), begun.version) == ("store", 4, 5)
+    keeper._store.close()
+    again = create_keeper(path)
+    start = again.start(server_list("s-1", version=2))
+    assert (start.source, len(start.restored.entries.entries), start.version) == ("store", 4, 5)
     assert again._store is not None
     again._store.close()
 
@@ -428,46 +426,48 @@
 def test_a_store_of_another_deployment_is_refused_and_made_over(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Under the same name and place its servers were the start list of whoever came next."""
+    """A store with the same name and directory must not supply the servers of another deployment."""
     path = tmp_path / "state"
 
-    def of(*classes: str) -> StateKeeper:
+    def create(*classes: str) -> StateKeeper:
         learn: list[Health] = []
-        told, clock = StateSettings(), SettableClock()
-        return StateKeeper(told, (path, False), clock, list, learn.extend, classes=frozenset(classes))
-
-    first = of("tills", "prices")
-    first.start(listed("s-1", "s-2", version=9))
-    first._commit_now()
+        state_settings, clock = StateSettings(), SettableClock()
+        return StateKeeper(
+            state_settings, (path, False), clock, list, learn.extend, classes=frozenset(classes)
+        )
+
+    first = create("tills", "prices")
+    first.start(server_list("s-1", "s-2", version=9))
+    first._commit_blocking()
     assert first._store is not None
     first._store.close()
     with caplog.at_level(logging.WARNING, "puffinford.state.keeper"):
-        other = of("parcels")
-        begun = other.start(listed("s-7", version=1))
-    assert [m.server.id for m in begun.restored.entries.entries] == ["s-7"] and begun.version == 1
+        other = create("parcels")
+        start = other.start(server_list("s-7", version=1))
+    assert [m.server.id for m in start.restored.entries.entries] == ["s-7"] and start.version == 1
     assert [r.getMessage() for r in caplog.records] == ["state of another deployment"]
-    other._commit_now()
+    other._commit_blocking()
     assert other._store is not None
     stored = other._store.read()
     assert set(stored.servers) == {"s-7"} and stored.owner is not None and stored.is_complete
     assert stored.owner.classes == ["parcels"]
     other._store.close()
-    grown = of("parcels", "letters")  # a class more is the same deployment
+    grown = create("parcels", "letters")  # a deployment stays the same when it gains a class
     assert grown.start(None).source == "store"
     assert grown._store is not None
     grown._store.close()
 
 
-def test_how_far_rebalancing_had_come_is_handed_on(tmp_path: Path) -> None:
+def test_the_progress_of_rebalancing_is_restored(tmp_path: Path) -> None:
     path = tmp_path / "state"
-    heard: list[records.PaceRecord] = []
+    restored: list[records.PaceRecord] = []
     pace = records.PaceRecord(2.5, [(7, NOW, ("s-1",), "s-2")])
     old = StateKeeper(
         StateSettings(), (path, False), SettableClock(), list, lambda _: None, lambda _: pace, lambda *_: None
     )
     old.release_store()
     assert old._store is not None
-    old._store.close()  # one process may not open a store twice
+    old._store.close()  # a process may not open an LMDB file twice
     new = StateKeeper(
         StateSettings(),
         (path, False),
@@ -475,25 +475,25 @@
         list,
         lambda _: None,
         lambda _: None,
-        lambda record, _: heard.append(record),
+        lambda record, _: restored.append(record),
     )
     assert new._store is not None
     new.start(None)
     new._store.release_write_lock()
-    assert new._become_writer(new._store) and heard == [pace, pace]
+    assert new._become_writer(new._store) and restored == [pace, pace]
     new._store.close()
 
 
 def test_the_tools_show_move_verify_and_compact(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path, other, text = tmp_path / "state", tmp_path / "other", str(tmp_path / "export.json")
-    made = filled(path, 3)
+    made = create_store(path, 3)
     key = records.health_key("s-1")
     made.write({key: encode(key, HealthRecord("s-1", failures=2), NOW)})
 
     def run(*words: str) -> tuple[int, str]:
         code = main(["state", *words])
-        told = capsys.readouterr()
-        return code, told.out + told.err
+        captured = capsys.readouterr()
+        return code, captured.out + captured.err
 
     made.close()
     code, out = run("show", "--file", str(path))
@@ -501,7 +501,7 @@
     assert run("show", "--file", str(path), "--json")[1].count('"server"') == 3
     assert run("export", "--file", str(path), text) == (0, "")
     with store.exclusive_writer(path):
-        assert run("import", "--file", str(path), text)[0] == 1, "a balancer writes there"
+        assert run("import", "--file", str(path), text)[0] == 1, "the write lock is held"
         assert run("compact", "--file", str(path))[0] == 1
     assert run("import", "--file", str(other), text)[0] == 0
     assert store.inspect(other).servers == store.inspect(path).servers
@@ -521,8 +521,8 @@
 def test_a_store_made_smaller_keeps_the_list_first(tmp_path: Path) -> None:
     path = tmp_path / "state"
     made, _ = open_store(path, 8 << 20, durable=True)
-    pairs = dict(entry(f"gone-{n:05}", "left") for n in range(8_000))
-    made.write(pairs | dict([whole(50), *(entry(f"z-{n}") for n in range(50))]))
+    pairs = dict(server_pair(f"gone-{n:05}", "left") for n in range(8_000))
+    made.write(pairs | dict([list_pair(50), *(server_pair(f"z-{n}") for n in range(50))]))
     made.close()
     made, rebuild = open_store(path, 512 << 10, durable=True)
     stored = made.read()
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -1,4 +1,4 @@
-"""What an old list and old knowledge are worth, and which word of discovery is taken."""
+"""Trust in stored lists and health by their age, and validation of the answers of discovery."""
 
 from __future__ import annotations
 
@@ -25,22 +25,22 @@
 times = st.floats(0, 4 * 86_400_000.0)
 
 
-def listed(version: int, full: bool = True, **states: ServerState) -> ServerEntries:
-    machines = [ServerEntry(Server(ident, state=state), "127.0.0.1", 1) for ident, state in states.items()]
-    return ServerEntries(version, full, machines)
+def server_list(version: int, full: bool = True, **states: ServerState) -> ServerEntries:
+    entries = [ServerEntry(Server(ident, state=state), "127.0.0.1", 1) for ident, state in states.items()]
+    return ServerEntries(version, full, entries)
 
 
-def kept(version: int, old: float, lost: int = 0, **states: str) -> Stored:
+def stored_list(version: int, age_ms: float, lost: int = 0, **states: str) -> Stored:
     servers = {
-        ident: (ServerRecord(ident, "127.0.0.1", 2, "lines", state, version), NOW - old)
+        ident: (ServerRecord(ident, "127.0.0.1", 2, "lines", state, version), NOW - age_ms)
         for ident, state in states.items()
     }
-    there = sum(state != "left" for state in states.values())
-    return Stored(version, NOW - old, there + lost, servers)
+    listed_count = sum(state != "left" for state in states.values())
+    return Stored(version, NOW - age_ms, listed_count + lost, servers)
 
 
 @given(times, times)
-def test_trust_falls_with_age_and_so_do_its_terms(one: float, other: float) -> None:
+def test_trust_falls_with_age_and_so_do_its_limits(one: float, other: float) -> None:
     younger, older = sorted((one, other))
     assert (
         1.0 >= trust.trust_level(younger, TRUST_SETTINGS) >= trust.trust_level(older, TRUST_SETTINGS) >= 0.0
@@ -63,7 +63,7 @@
 def test_a_clock_that_was_set_back_makes_a_list_old_not_new() -> None:
     assert trust.age(NOW + 2_000.0, NOW) == 0.0
     assert trust.age(NOW + HOUR, NOW) == HOUR
-    start = build_start_state(kept(5, -2 * HOUR, a="active"), None, NOW, 0.0, TRUST_SETTINGS, 0.0)
+    start = build_start_state(stored_list(5, -2 * HOUR, a="active"), None, NOW, 0.0, TRUST_SETTINGS, 0.0)
     assert (start.age, start.restored.max_attempts) == (HOUR, 2)
 
 
@@ -85,7 +85,7 @@
     assert later is not None and not later.slow_until and later.capacity_estimate == 5.0
     assert trust.discard_expired(slow, NOW + 120_000.0, TRUST_SETTINGS) is None
     assert trust.discard_expired(Health("a", NOW + HOUR, failures=2), NOW, TRUST_SETTINGS) is None, (
-        "of a time to come"
+        "confirmed in the future"
     )
 
 
@@ -103,8 +103,8 @@
     back = to_health(record, 3e12 + offset, offset)
     assert (back.failures, back.capacity_estimate, back.observed_at) == (failures, capacity_estimate, 3e12)
     assert abs(back.retry_at - retry) < 100.0 and isinstance(record, HealthRecord)
-    machine = ServerEntry(Server("a", "z", "k", 3, DRAINING, 2.0, float(started)), "::1", 8, "channels")
-    again = to_server_entry(to_server_record(machine, 4, offset), offset, float("inf"))
+    entry = ServerEntry(Server("a", "z", "k", 3, DRAINING, 2.0, float(started)), "::1", 8, "channels")
+    again = to_server_entry(to_server_record(entry, 4, offset), offset, float("inf"))
     assert (
         again is not None
         and again.server.state is DRAINING
@@ -113,61 +113,67 @@
 
 
 def test_the_newer_side_counts_entry_by_entry_and_nothing_gone_comes_back() -> None:
-    stored = kept(7, 20_000.0, a="active", b="leaving", c="left")
-    older = listed(6, a=LIVE, b=LIVE, c=LIVE, d=LIVE)
+    stored = stored_list(7, 20_000.0, a="active", b="leaving", c="left")
+    older = server_list(6, a=LIVE, b=LIVE, c=LIVE, d=LIVE)
     start = build_start_state(stored, older, NOW, 0.0, TRUST_SETTINGS, 0.0)
-    states = {m.server.id: m.server.state for m in start.restored.entries.entries}
+    states = {item.server.id: item.server.state for item in start.restored.entries.entries}
     assert states == {"a": LIVE, "b": DRAINING} and start.restored.unverified == {"a"}
     assert (start.source, start.version) == ("store", 7)
-    newer = build_start_state(stored, listed(8, a=DRAINING, c=LIVE), NOW, 0.0, TRUST_SETTINGS, 0.0)
-    states = {m.server.id: m.server.state for m in newer.restored.entries.entries}
+    newer = build_start_state(stored, server_list(8, a=DRAINING, c=LIVE), NOW, 0.0, TRUST_SETTINGS, 0.0)
+    states = {item.server.id: item.server.state for item in newer.restored.entries.entries}
     assert states == {"a": DRAINING, "c": LIVE} and (newer.source, newer.version) == ("known", 8)
 
 
-def test_a_list_of_seconds_ago_is_used_as_if_told_now() -> None:
-    """Short claims at servers busy with everybody's return were cut, and made again, for nothing."""
-    young = build_start_state(kept(7, 9_000.0, a="active"), None, NOW, 0.0, TRUST_SETTINGS, 0.0)
-    older = build_start_state(kept(7, 11_000.0, a="active"), None, NOW, 0.0, TRUST_SETTINGS, 0.0)
+def test_a_list_of_seconds_ago_needs_no_verification() -> None:
+    """A list this recent must not limit attempts: short timeouts fail at servers busy after a restart."""
+    young = build_start_state(stored_list(7, 9_000.0, a="active"), None, NOW, 0.0, TRUST_SETTINGS, 0.0)
+    older = build_start_state(stored_list(7, 11_000.0, a="active"), None, NOW, 0.0, TRUST_SETTINGS, 0.0)
     assert not young.restored.unverified and older.restored.unverified == {"a"}
 
 
-def test_a_store_that_lost_an_entry_asks_for_the_whole_list() -> None:
-    assert build_start_state(kept(7, 0.0, a="active"), None, NOW, 0.0, TRUST_SETTINGS, 0.0).version == 7
+def test_a_store_that_lost_an_entry_requests_a_full_list() -> None:
     assert (
-        build_start_state(kept(7, 0.0, lost=1, a="active"), None, NOW, 0.0, TRUST_SETTINGS, 0.0).version
+        build_start_state(stored_list(7, 0.0, a="active"), None, NOW, 0.0, TRUST_SETTINGS, 0.0).version == 7
+    )
+    assert (
+        build_start_state(
+            stored_list(7, 0.0, lost=1, a="active"), None, NOW, 0.0, TRUST_SETTINGS, 0.0
+        ).version
         is None
     )
     assert build_start_state(None, None, NOW, 0.0, TRUST_SETTINGS, 0.0).source == "nothing"
 
 
-def test_an_older_answer_brings_its_bad_news_at_once_and_the_rest_when_said_twice() -> None:
-    guard = ListValidator(9, listed(9, a=LIVE, b=LIVE, c=LIVE).entries)
-    first = guard.validate(listed(2, a=LIVE, b=DRAINING, x=LIVE))
+def test_an_older_answer_removes_servers_at_once_and_is_accepted_when_repeated() -> None:
+    validator = ListValidator(9, server_list(9, a=LIVE, b=LIVE, c=LIVE).entries)
+    first = validator.validate(server_list(2, a=LIVE, b=DRAINING, x=LIVE))
     assert first.version is None and first.entries is not None and not first.entries.full
-    assert {m.server.id: m.server.state for m in first.entries.entries} == {"b": DRAINING, "c": GONE}
-    second = guard.validate(listed(2, a=LIVE, b=DRAINING, x=LIVE))
+    assert {item.server.id: item.server.state for item in first.entries.entries} == {"b": DRAINING, "c": GONE}
+    second = validator.validate(server_list(2, a=LIVE, b=DRAINING, x=LIVE))
     assert second.version == 2 and second.entries is not None and len(second.entries.entries) == 3
-    assert guard.validate(listed(3, False, x=DRAINING)).version == 3
+    assert validator.validate(server_list(3, False, x=DRAINING)).version == 3
 
 
-def test_changes_that_cannot_be_placed_ask_for_the_whole_list() -> None:
-    guard = ListValidator(9, listed(9, a=LIVE).entries)
-    doubted = guard.validate(listed(4, False, a=LIVE))
-    assert (doubted.entries, doubted.version, guard.version) == (None, None, None)
-    assert guard.validate(listed(10, a=LIVE)).version == 10 and guard.version == 10
-    guard.moved()
-    assert guard.validate(listed(1, False, a=LIVE)).entries is None, "changes against another's list"
-    assert guard.validate(listed(1, a=LIVE)).version == 1
+def test_changes_that_cannot_be_applied_request_a_full_list() -> None:
+    validator = ListValidator(9, server_list(9, a=LIVE).entries)
+    suspect = validator.validate(server_list(4, False, a=LIVE))
+    assert (suspect.entries, suspect.version, validator.version) == (None, None, None)
+    assert validator.validate(server_list(10, a=LIVE)).version == 10 and validator.version == 10
+    validator.reset_version()
+    assert validator.validate(server_list(1, False, a=LIVE)).entries is None, (
+        "changes relative to another list"
+    )
+    assert validator.validate(server_list(1, a=LIVE)).version == 1
 
 
-def test_an_answer_at_odds_with_itself_is_told_the_worse() -> None:
-    machines = listed(1, a=DRAINING).entries + listed(1, a=LIVE, b=LIVE).entries
-    taken = ListValidator().validate(ServerEntries(1, True, machines)).entries
+def test_an_answer_that_contradicts_itself_counts_with_the_more_severe_state() -> None:
+    entries = server_list(1, a=DRAINING).entries + server_list(1, a=LIVE, b=LIVE).entries
+    taken = ListValidator().validate(ServerEntries(1, True, entries)).entries
     assert taken is not None
-    assert {m.server.id: m.server.state for m in taken.entries} == {"a": DRAINING, "b": LIVE}
+    assert {item.server.id: item.server.state for item in taken.entries} == {"a": DRAINING, "b": LIVE}
 
 
 def test_a_list_that_shares_nothing_with_the_stored_one_replaces_it() -> None:
-    guard = ListValidator(3, listed(3, a=LIVE).entries)
-    taken = guard.validate(listed(4, x=LIVE, y=LIVE))
+    validator = ListValidator(3, server_list(3, a=LIVE).entries)
+    taken = validator.validate(server_list(4, x=LIVE, y=LIVE))
     assert taken.entries is not None and taken.entries.full and taken.version == 4
