--- a/benchmarks/rebalance/model.py
+++ b/benchmarks/rebalance/model.py
@@ -57,7 +57,7 @@
             settle_time=3_000.0,
             min_age=0.0,
             sample_size=16,
-            pace=PaceSettings(2.0, 0.2, 12.0, gain=0.1),
+            pace=PaceSettings(2.0, 0.2, 12.0, increment=0.1),
         )
         self.planners = [
             Planner(figures, random.Random(seed * 1_000 + n), balancers) for n in range(balancers)
--- a/puffinford/rebalance/__init__.py
+++ b/puffinford/rebalance/__init__.py
@@ -1,1 +1,1 @@
-"""Moving standing connections towards balance: which, when, and at what rate."""
+"""Rebalancing: which established connections to move to other servers, when, and at what rate."""
--- a/puffinford/rebalance/pace.py
+++ b/puffinford/rebalance/pace.py
@@ -1,8 +1,7 @@
-"""How fast connections are moved. No I/O, no clock: times are given, in ms.
+"""The rate at which connections are moved. No I/O, no clock: times are parameters, in ms.
 
-The rate grows a little with each moved client that is up again in time, and falls at once on any sign that
-the fleet does not bear it: additive increase, multiplicative decrease, as congestion control has it (Chiu and
-Jain, 1989).
+Additive increase, multiplicative decrease, as in congestion control (Chiu and Jain, 1989): the rate grows
+with each moved client that reconnects in time, and drops on any sign of overload.
 """
 
 from __future__ import annotations
@@ -12,21 +11,21 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_CATCH_UP_MS = 1_000.0  # ms of moves that may be made at once, where looks are that far apart
+MAX_CATCH_UP_MS = 1_000.0  # of missed moves that may be made at once, where rounds are far apart
 
 
 class Signal(Enum):
-    """What a moved client, or a server, tells of the pace."""
+    """The result of a move, or the condition of servers, that changes the rate."""
 
-    RETURNED = "returned"  # up again in time
-    SLOW_RETURN = "slow return"  # up again, and not in time
-    REFUSED = "refused"  # came back and was turned away
-    FAILED = "failed"  # came back and got an error
-    DELAYED = "late"  # messages are late at a server that took moved clients
-    DEGRADED = "strained"  # most servers are: everything stops
+    RETURNED = "returned"  # reconnected in time
+    SLOW_RETURN = "slow return"  # reconnected, but not in time
+    REFUSED = "refused"  # returned and was refused
+    FAILED = "failed"  # returned and got an error
+    DELAYED = "late"  # messages are delayed at a server that received moved clients
+    DEGRADED = "strained"  # too many servers are degraded: no moves
 
 
-_BAD = {
+_RATE_FACTORS = {
     Signal.SLOW_RETURN: 0.7,
     Signal.REFUSED: 0.5,
     Signal.FAILED: 0.5,
@@ -35,70 +34,76 @@
 }
 
 
-# The fleet has no room for what was moved: nothing more is, for a while.
-_STOPS = (Signal.REFUSED, Signal.FAILED, Signal.DEGRADED)
+# Signs that servers lack capacity for moved clients: no moves during the cooldown.
+_STOPPING_SIGNALS = (Signal.REFUSED, Signal.FAILED, Signal.DEGRADED)
 
 
 @dataclass(frozen=True)
 class PaceSettings:
-    """Rates in moves a second, times in ms."""
+    """Rates in moves per second, times in ms."""
 
     start_rate: float = 1.0
     min_rate: float = 0.2
     max_rate: float = 10.0
-    gain: float = 0.1  # for each good return
-    cooldown: float = 5_000.0  # no growth for so long after a bad signal; no move after one that stops
+    increment: float = 0.1  # added for each return in time
+    cooldown: float = (
+        5_000.0  # after a decrease without growth, and without moves if it was a stopping signal
+    )
 
 
 class Pace:
-    """One balancer's rate of moves, and when the next is due."""
+    """The rate of moves of one balancer, and the time of its next move."""
 
     def __init__(self, settings: PaceSettings, rng: random.Random, return_weight: int = 1) -> None:
-        """Of so many `returns` one is seen here, and stands for all."""
+        """One return in `return_weight` is seen by this balancer, and represents all of them."""
         self.settings = settings
         self.return_weight = max(1, return_weight)
         self.rate = settings.start_rate
         self.signal_counts: Counter[Signal] = Counter()
         self._rng = rng
-        self._next = 0.0
-        self._cool_until = float("-inf")
+        self._next_move_at = 0.0
+        self._cooldown_until = float("-inf")
         self._stopped_until = float("-inf")
 
     def configure(self, settings: PaceSettings) -> None:
-        """Go on under other settings; the rate stays within them."""
+        """Change the settings; the current rate is clamped to them."""
         self.settings = settings
         self.rate = min(max(self.rate, settings.min_rate), settings.max_rate)
 
     def apply(self, signal: Signal, now: float) -> bool:
-        """Hear a signal; tells whether it changed the rate downwards."""
+        """Adapt the rate to a signal; return whether it was lowered."""
         self.signal_counts[signal] += 1
         if signal is Signal.RETURNED:
-            if now >= self._cool_until:
-                self.rate = min(self.settings.max_rate, self.rate + self.settings.gain * self.return_weight)
+            if now >= self._cooldown_until:
+                self.rate = min(
+                    self.settings.max_rate, self.rate + self.settings.increment * self.return_weight
+                )
             return False
-        # Several signs of one moment are one: what follows tells whether the new rate is borne.
-        fresh = now >= self._cool_until
-        if signal in _STOPS:
+        # Signals during the cooldown count as one: only later ones are a response to the new rate.
+        is_decrease = now >= self._cooldown_until
+        if signal in _STOPPING_SIGNALS:
             self._stopped_until = now + self.settings.cooldown
         if signal is Signal.DEGRADED:
-            fresh = self.rate > self.settings.min_rate
+            is_decrease = self.rate > self.settings.min_rate
             self.rate = self.settings.min_rate
-        elif fresh:
-            self.rate = max(self.settings.min_rate, self.rate * _BAD[signal])
-        self._cool_until = now + self.settings.cooldown
-        return fresh
+        elif is_decrease:
+            self.rate = max(self.settings.min_rate, self.rate * _RATE_FACTORS[signal])
+        self._cooldown_until = now + self.settings.cooldown
+        return is_decrease
 
     def is_due(self, now: float) -> bool:
-        """Whether a move may be made now; the caller says `record_move` when it was."""
-        return now >= self._next and now >= self._stopped_until
+        """Return whether a move may be made now; the caller then calls `record_move`."""
+        return now >= self._next_move_at and now >= self._stopped_until
 
     def record_move(self, now: float) -> None:
-        """A move was made: draw when the next may be.
+        """Record a move, and draw the time of the next.
 
-        Guards against a burst after a time without any: no more than MAX_CATCH_UP_MS is made up for.
+        Prevents a burst after a time without moves: at most MAX_CATCH_UP_MS are made up for.
         """
-        self._next = max(self._next, now - MAX_CATCH_UP_MS) + self._rng.expovariate(self.rate) * 1_000.0
+        self._next_move_at = (
+            max(self._next_move_at, now - MAX_CATCH_UP_MS) + self._rng.expovariate(self.rate) * 1_000.0
+        )
 
     def reset_rate(self) -> None:
-        """Balance was reached: the next time begins low again."""
+        """Lower the rate to the start rate, for the next imbalance."""
         self.rate = min(self.rate, self.settings.start_rate)
--- a/puffinford/rebalance/planner.py
+++ b/puffinford/rebalance/planner.py
@@ -1,7 +1,7 @@
-"""Which standing connections to move, and whether now. No I/O, no clock: times are given, in ms.
+"""Decides which established connections to move, and when. No I/O, no clock: times are parameters, in ms.
 
-It sees servers and a sample of connections, and is told what became of those that it moved. Where one goes is
-asked of the module; see docs/design-rebalance.md.
+The planner sees the servers and samples of connections, and is notified of the results of its moves. The
+decision module chooses the target of a move; see docs/design-rebalance.md.
 """
 
 from __future__ import annotations
@@ -16,407 +16,425 @@
 from puffinford.rebalance.lifetimes import Lifetimes
 from puffinford.rebalance.pace import Pace, PaceSettings, Signal
 
-MAX_REMEMBERED_MOVES = 20_000  # clients whose moves are remembered, by key
-MAX_DEGRADED_FRACTION = 0.25  # of the servers with own connections: with more than that nothing moves
-MIN_LOAD = 8.0  # own load, in mean connections, under which there is nothing to balance
-MIN_GAIN_FRACTION = (
-    0.25  # of a connection's load: by so much less full the fuller of two servers must be after a move
-)
-NOISE_STANDARD_DEVIATIONS = 0.5  # standard deviations of chance that are no imbalance
-MIN_CAPACITY = 0.02  # of its capacity: what a server is taken to be able to do at least
+MAX_REMEMBERED_MOVES = 20_000
+MAX_DEGRADED_FRACTION = 0.25  # of the servers with own connections; above it nothing is moved
+MIN_LOAD = 8.0  # own load, in average connections, below which nothing is balanced
+MIN_GAIN_FRACTION = 0.25  # of a connection's load: the least reduction of the higher utilization by a move
+NOISE_STANDARD_DEVIATIONS = 0.5  # of sampling noise that do not count as imbalance
+MIN_CAPACITY = 0.02  # lower bound of a server's capacity in ratios
 
 
 class SkipReason(Enum):
-    """Why a connection is not moved, or nothing is."""
+    """Why a connection is not moved, or why nothing is."""
 
-    OFF = "switched off"
+    DISABLED = "switched off"
     PAUSED = "paused by an operator"
     BALANCED = "in balance"
     SETTLING = "out of balance for too short a time"
     DEGRADED = "too many servers strained"
-    PACE = "the next move is not due"
-    FEW = "too few connections to judge"
-    BUSY = "a line is unanswered"
-    RESTING = "its client was moved a short while ago"
-    YOUNG = "it has just been placed"
-    ENDING = "it will soon end by itself"
-    BEST = "the module would not place it elsewhere"
-    BACK = "it came from there"
+    RATE_LIMITED = "the next move is not due"
+    TOO_FEW_CONNECTIONS = "too few connections to judge"
+    AWAITING_ANSWER = "a line is unanswered"
+    RECENTLY_MOVED = "its client was moved a short while ago"
+    RECENTLY_PLACED = "it has just been placed"
+    ENDING_SOON = "it will soon end by itself"
+    ALREADY_BEST = "the module would not place it elsewhere"
+    MOVED_FROM_TARGET = "it came from there"
     NO_GAIN = "its target would be as full"
-    GROUP = "its group does not fit anywhere"
+    GROUP_TOO_LARGE = "its group does not fit anywhere"
 
 
 @dataclass(frozen=True)
 class PlannerSettings:
-    """The operators' settings: ratios of load by capacity to the mean, times in ms."""
+    """The operators' settings. Ratios are utilization relative to the mean, times are ms."""
 
     enabled: bool = True
-    start_ratio: float = 1.25  # the fullest server, or as far under the mean the emptiest: moving starts
-    stop_ratio: float = 1.1  # and stops
-    settle_time: float = 3_000.0  # out of balance for so long before it starts
-    move_cooldown: float = 60_000.0  # a client that was moved is left alone for so long
-    return_cooldown: float = (
-        10_000.0  # one that came back, from a crash or another balancer's move, rests so long
-    )
-    min_age: float = 3_000.0  # and a connection that was just placed
-    reservation_time: float = 2_500.0  # a place is kept for the return of its client
-    return_deadline: float = 1_000.0  # a moved client that takes longer to come up had a slow return
-    sample_size: int = 64  # connections of a server that are looked at in a round
-    min_remaining: float = 5_000.0  # one that has less than this left is left alone
+    start_ratio: float = 1.25  # imbalance above which moving starts
+    stop_ratio: float = 1.1  # imbalance at which it stops
+    settle_time: float = 3_000.0  # how long the imbalance must last before moving starts
+    move_cooldown: float = 60_000.0  # after a move, before the client is moved again
+    return_cooldown: float = 10_000.0  # the same after a return from a crash or another balancer's move
+    min_age: float = 3_000.0  # of a connection that is moved
+    reservation_time: float = 2_500.0  # how long the target reserves a slot for a moved client
+    return_deadline: float = 1_000.0  # time to UP above which a return counts as slow
+    sample_size: int = 64  # connections of a server considered in a round
+    min_remaining: float = 5_000.0  # expected remaining time of a connection that is moved
     pace: PaceSettings = field(default_factory=PaceSettings)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
-    """A server as the module sees it. Loads are own ones, in mean connections."""
+    """A server as the decision module sees it. Loads are this balancer's own, in average connections."""
 
     id: str
-    load: float  # with what groups cost
-    capacity: float  # by size and warmth, in any one unit; 0 where it is out
-    usable: bool = True  # a target at all: open, reachable, not slow, with room
+    load: float  # including the cost of groups
+    capacity: float  # by size and warmth, in any common unit; 0 if the server is out of use
+    usable: bool = True  # as a target: live, reachable, not slow, with free capacity
     degraded: bool = False
     connection_count: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A standing connection."""
+    """An established connection that may be moved."""
 
     request_id: str
     key: int
     server: str
     cls: str
-    worth: float  # of a second of it
+    value: float  # per second
     load: float
-    age: float  # since it was placed
+    age: float  # ms since it was placed
     group: int | None = None
-    quiet: bool = True  # no line waits for an answer
-    came_back: bool = False  # its client had been moved or cut off before, perhaps at another balancer
-    group_size: int = 0  # own connections of its group at the same server, itself among them
+    idle: bool = True  # no line awaits an answer
+    came_back: bool = False  # its client was moved or cut off before, perhaps by another balancer
+    group_size: int = 0  # own connections of its group at the same server, including itself
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedMove:
-    """One move."""
+    """The move of one connection to another server."""
 
     request_id: str
     key: int
     source: str
     target: str
     group: int | None
-    gain: float  # load by capacity: of the source before the move, less that of the target after it
+    gain: float  # the source's utilization before the move minus the target's after it
 
 
 @dataclass
 class RecentMove:
-    """What is remembered of a client that was moved."""
+    """A past move of a client."""
 
     moved_at: float
-    sources: tuple[str, ...]  # where it was before; it is not sent there again
+    sources: tuple[str, ...]  # servers it was moved from; it is not moved back to them
     target: str
-    awaiting_return: bool = True  # it has not been seen since
+    awaiting_return: bool = True
 
 
-Advise = Callable[[str], str | None]
+BestServer = Callable[[str], str | None]  # the server that the decision module would choose for a request
 
 
 class Planner:
-    """One balancer's plan. `observe`, then `choose_move` where it says to."""
+    """Plans the moves of one balancer: call `observe`, then `choose_move` if it returns None."""
 
     def __init__(self, settings: PlannerSettings, rng: random.Random, balancers: int = 1) -> None:
-        """`balancers` share the clients: of those that were moved, one in so many is seen again here."""
+        """`balancers` share the clients, so that one in `balancers` moved clients returns to this one."""
         self.settings = settings
         self.pace = Pace(settings.pace, rng, balancers)
         self.lifetimes: dict[str, Lifetimes] = {}
         self.moving = False
         self.paused = False
-        self.imbalance = 1.0  # how far the fullest or the emptiest server is off the mean, as a ratio over 1
+        self.imbalance = (
+            1.0  # the largest deviation of a server's utilization from the mean, as a ratio over 1
+        )
         self.reason = SkipReason.BALANCED
-        self.skipped: Counter[SkipReason] = Counter()  # of the last round
-        self.moves = 0
-        self.returns_by_server: Counter[str] = Counter()  # by server, of the clients that came back here
-        self.not_returned = 0  # moved clients that were not seen here again
+        self.skipped: Counter[SkipReason] = Counter()  # in the last round
+        self.move_count = 0
+        self.returns_by_server: Counter[str] = Counter()
+        self.not_returned = 0  # moved clients that did not return to this balancer
         self._rng = rng
-        self._moved: OrderedDict[int, RecentMove] = OrderedDict()
-        self._out_since: float | None = None
-        self._places: dict[str, ServerLoad] = {}
+        self._recent_moves: OrderedDict[int, RecentMove] = OrderedDict()
+        self._unbalanced_since: float | None = None
+        self._servers: dict[str, ServerLoad] = {}
         self._mean = 0.0
-        self._chance = 0.0
-        self._group: tuple[int, str] | None = None  # the group that is under way, and its source
-        self._last_target: dict[str, float] = {}  # servers that took moved clients, and when
+        self._noise_margin = 0.0
+        self._group: tuple[int, str] | None = None  # the group being moved, and its source
+        self._last_move_to: dict[str, float] = {}  # times by target
 
     def configure(self, settings: PlannerSettings) -> None:
-        """Go on under other settings; what is remembered stays."""
+        """Change the settings; past moves are kept."""
         self.settings = settings
         self.pace.configure(settings.pace)
 
-    # What is seen
+    # Observation
 
-    def observe(self, now: float, places: Iterable[ServerLoad]) -> SkipReason | None:
-        """Take in the servers as they are; None where a move is due now, else why not."""
-        self._places = {place.id: place for place in places}
+    def observe(self, now: float, servers: Iterable[ServerLoad]) -> SkipReason | None:
+        """Update the servers; return None if a move may be made now, else why not."""
+        self._servers = {server.id: server for server in servers}
         self.skipped.clear()
-        self.reason = self._judge(now) or SkipReason.PACE
-        if self.reason is not SkipReason.PACE:
+        self.reason = self._assess(now) or SkipReason.RATE_LIMITED
+        if self.reason is not SkipReason.RATE_LIMITED:
             return self.reason
-        return None if self.pace.is_due(now) else SkipReason.PACE
+        return None if self.pace.is_due(now) else SkipReason.RATE_LIMITED
 
-    def _judge(self, now: float) -> SkipReason | None:
-        able = [place for place in self._places.values() if place.capacity > 0.0]
-        load = sum(place.load for place in able)
-        capacity = sum(place.capacity for place in able)
+    def _assess(self, now: float) -> SkipReason | None:
+        in_use = [server for server in self._servers.values() if server.capacity > 0.0]
+        load = sum(server.load for server in in_use)
+        capacity = sum(server.capacity for server in in_use)
         self._mean = load / capacity if capacity else 0.0
-        self._chance = self._noise(load / max(1, len(able)))
-        self.imbalance = self._imbalance(able)
-        known = [place for place in able if place.connection_count]
-        if known and sum(place.degraded for place in known) > max(1.0, MAX_DEGRADED_FRACTION * len(known)):
-            self._signal(Signal.DEGRADED, now)
-            self._out_since = None
+        self._noise_margin = self._sampling_noise(load / max(1, len(in_use)))
+        self.imbalance = self._imbalance(in_use)
+        connected = [server for server in in_use if server.connection_count]
+        if connected and sum(server.degraded for server in connected) > max(
+            1.0, MAX_DEGRADED_FRACTION * len(connected)
+        ):
+            self._apply_signal(Signal.DEGRADED, now)
+            self._unbalanced_since = None
             return SkipReason.DEGRADED
         if not self.settings.enabled:
             self.moving = False
-            return SkipReason.OFF
+            return SkipReason.DISABLED
         if self.paused:
             return SkipReason.PAUSED
-        if load < MIN_LOAD or len(able) < 2:
+        if load < MIN_LOAD or len(in_use) < 2:
             self.moving = False
-            return SkipReason.FEW
-        return self._in_band(now)
+            return SkipReason.TOO_FEW_CONNECTIONS
+        return self._check_thresholds(now)
 
-    def _imbalance(self, able: list[ServerLoad]) -> float:
-        """The fullest server over the mean, or as far as the emptiest that can be moved to lies under it.
+    def _imbalance(self, in_use: list[ServerLoad]) -> float:
+        """Return the deviation of the highest or the lowest utilization from the mean, as a ratio over 1.
 
-        Guards the few that restart among many: with two of ten empty the fullest is only 1.25 times the mean.
+        The lowest one detects a few restarted servers among many: with two of ten empty, the highest
+        utilization is only 1.25 times the mean.
         """
         if not self._mean:
             return 1.0
-        most = max(map(self._full, able)) / self._mean
-        least = min((self._full(place) for place in able if place.usable), default=self._mean) / self._mean
-        return max(most, 2.0 - least)
+        highest = max(map(self._utilization, in_use)) / self._mean
+        lowest = (
+            min((self._utilization(server) for server in in_use if server.usable), default=self._mean)
+            / self._mean
+        )
+        return max(highest, 2.0 - lowest)
 
-    def _noise(self, each: float) -> float:
-        """How far one server's own load is over the mean by chance alone, as a part of the mean.
+    def _sampling_noise(self, mean_load: float) -> float:
+        """Return the random deviation of a server's own load from the mean, as a fraction of the mean.
 
-        Guards against moves that serve nobody: of clients spread evenly a balancer sees a sample,
-        and a sample of n is off by the root of n. A balancer that is alone sees all.
+        Prevents needless moves: each balancer sees a sample of the clients, and a sample of n deviates by the
+        square root of n. A single balancer sees all clients.
         """
         return NOISE_STANDARD_DEVIATIONS * math.sqrt(
-            max(0.0, 1.0 - 1.0 / self.pace.return_weight) / max(each, 1.0)
+            max(0.0, 1.0 - 1.0 / self.pace.return_weight) / max(mean_load, 1.0)
         )
 
-    def _in_band(self, now: float) -> SkipReason | None:
-        """Hysteresis: it starts over `start_at` and goes on until under `stop_at`."""
+    def _check_thresholds(self, now: float) -> SkipReason | None:
+        """Apply hysteresis: moving starts above `start_ratio` and continues until below `stop_ratio`."""
         if self.moving:
-            if self.imbalance > self.settings.stop_ratio + self._chance:
+            if self.imbalance > self.settings.stop_ratio + self._noise_margin:
                 return None
             self._stop()
             return SkipReason.BALANCED
-        if self.imbalance <= self.settings.start_ratio + self._chance:
-            self._out_since = None
+        if self.imbalance <= self.settings.start_ratio + self._noise_margin:
+            self._unbalanced_since = None
             return SkipReason.BALANCED
-        if self._out_since is None:
-            self._out_since = now
-        if now - self._out_since < self.settings.settle_time:
+        if self._unbalanced_since is None:
+            self._unbalanced_since = now
+        if now - self._unbalanced_since < self.settings.settle_time:
             return SkipReason.SETTLING
         self.moving = True
         return None
 
     def _stop(self) -> None:
         self.moving = False
-        self._out_since = None
+        self._unbalanced_since = None
         self._group = None
         self.pace.reset_rate()
 
     @staticmethod
-    def _full(place: ServerLoad, more: float = 0.0) -> float:
-        """Load by capacity, with `more` on it."""
-        return (place.load + more) / max(place.capacity, MIN_CAPACITY)
+    def _utilization(server: ServerLoad, added_load: float = 0.0) -> float:
+        """Return load relative to capacity, with `added_load`."""
+        return (server.load + added_load) / max(server.capacity, MIN_CAPACITY)
 
     def sources(self) -> list[ServerLoad]:
-        """The servers over the mean, fullest first, the one whose group is under way before all."""
-        line = self._mean * (1.0 + self._chance / 2.0)
-        over = [
-            p
-            for p in self._places.values()
-            if p.connection_count and (self._full(p) > line or p.capacity <= 0.0)
+        """Return the servers above the mean, the source of a group being moved first, then by utilization."""
+        threshold = self._mean * (1.0 + self._noise_margin / 2.0)
+        above_mean = [
+            item
+            for item in self._servers.values()
+            if item.connection_count and (self._utilization(item) > threshold or item.capacity <= 0.0)
         ]
-        over.sort(key=self._full, reverse=True)
+        above_mean.sort(key=self._utilization, reverse=True)
         if self._group is not None:
-            over.sort(key=lambda place: place.id != self._group[1])  # type: ignore[index]
-        return over
+            above_mean.sort(key=lambda server: server.id != self._group[1])  # type: ignore[index]
+        return above_mean
 
     def underloaded(self) -> frozenset[str]:
-        """The servers under the band, while it moves: where clients that come back are best placed."""
+        """Return the servers preferred for returning clients while moving: those below the band."""
         if not self.moving or self.paused or not self.settings.enabled:
             return frozenset()
-        line = self._mean * (2.0 - self.settings.stop_ratio)
-        return frozenset(p.id for p in self._places.values() if p.usable and self._full(p) < line)
+        threshold = self._mean * (2.0 - self.settings.stop_ratio)
+        return frozenset(
+            item.id for item in self._servers.values() if item.usable and self._utilization(item) < threshold
+        )
 
-    # What is chosen
+    # Choice
 
-    def choose_move(self, now: float, candidates: Sequence[Candidate], advise: Advise) -> PlannedMove | None:
-        """The one to move of a source's sample; None where none is, with the reasons in `skipped`."""
-        fit = []
+    def choose_move(
+        self, now: float, candidates: Sequence[Candidate], best_server: BestServer
+    ) -> PlannedMove | None:
+        """Choose and record a move from a sample of one source; None if there is none, see `skipped`."""
+        eligible = []
         for candidate in candidates[: self.settings.sample_size]:
-            why = self._spare(now, candidate)
-            if why is None:
-                fit.append(candidate)
+            reason = self._skip_reason(now, candidate)
+            if reason is None:
+                eligible.append(candidate)
             else:
-                self.skipped[why] += 1
-        under_way = self._group[0] if self._group is not None else None
-        # Its group first, for every server that holds any of it pays. Then those that nobody has moved yet:
-        # where another balancer moved one from is not known here. Then the least price for the load freed.
-        fit.sort(key=lambda c: (under_way is None or c.group != under_way, c.came_back, self._price(c)))
-        for candidate in fit:
-            planned = self._plan(candidate, advise)
+                self.skipped[reason] += 1
+        moving_group = self._group[0] if self._group is not None else None
+        # First the group being moved, since each server that holds a part of it bears its cost. Then clients
+        # not moved before: the sources of other balancers' moves are unknown here. Then the lowest cost.
+        eligible.sort(
+            key=lambda item: (
+                moving_group is None or item.group != moving_group,
+                item.came_back,
+                self._cost(item),
+            )
+        )
+        for candidate in eligible:
+            planned = self._plan_move(candidate, best_server)
             if isinstance(planned, PlannedMove):
-                self._made(now, planned, candidate.load)
+                self._record_move(now, planned, candidate.load)
                 return planned
             self.skipped[planned] += 1
-        if under_way is not None and not any(c.group == under_way for c in fit):
+        if moving_group is not None and not any(item.group == moving_group for item in eligible):
             self._group = None
         return None
 
-    def _spare(self, now: float, candidate: Candidate) -> SkipReason | None:
-        """SkipReason this client is to be left alone."""
-        if not candidate.quiet:
-            return SkipReason.BUSY
+    def _skip_reason(self, now: float, candidate: Candidate) -> SkipReason | None:
+        """Return why this client must not be moved now; None if it may be."""
+        if not candidate.idle:
+            return SkipReason.AWAITING_ANSWER
         if candidate.age < self.settings.min_age:
-            return SkipReason.YOUNG
-        moved = self._moved.get(candidate.key)
+            return SkipReason.RECENTLY_PLACED
+        earlier = self._recent_moves.get(candidate.key)
         if candidate.came_back and candidate.age < self.settings.return_cooldown:
-            return SkipReason.RESTING
-        if moved is not None and now - moved.moved_at < self.settings.move_cooldown:
-            return SkipReason.RESTING
-        lives = self.lifetimes.get(candidate.cls)
-        left = lives.mean_remaining(candidate.age) if lives is not None else None
-        if left is not None and left < self.settings.min_remaining:
-            return SkipReason.ENDING
+            return SkipReason.RECENTLY_MOVED
+        if earlier is not None and now - earlier.moved_at < self.settings.move_cooldown:
+            return SkipReason.RECENTLY_MOVED
+        lifetimes = self.lifetimes.get(candidate.cls)
+        remaining = lifetimes.mean_remaining(candidate.age) if lifetimes is not None else None
+        if remaining is not None and remaining < self.settings.min_remaining:
+            return SkipReason.ENDING_SOON
         return None
 
-    def _price(self, candidate: Candidate) -> float:
-        """What the move costs for the load that it frees: the worth of what its client loses meanwhile.
+    def _cost(self, candidate: Candidate) -> float:
+        """Return the cost of a move per unit of load: the value lost by the client during the move.
 
-        A connection with long to live pays for its move over that time; one with little left hardly does.
+        The cost is spread over the expected remaining time, and so lower for long-lived connections.
         """
-        lives = self.lifetimes.get(candidate.cls)
-        left = lives.mean_remaining(candidate.age) if lives is not None else None
-        share = 1.0 if left is None else self.settings.min_remaining / max(left, self.settings.min_remaining)
-        return candidate.worth * share / max(candidate.load, 0.05)
-
-    def _plan(self, candidate: Candidate, advise: Advise) -> PlannedMove | SkipReason:
-        source = self._places.get(candidate.server)
-        target_id = advise(candidate.request_id)
-        target = self._places.get(target_id) if target_id is not None else None
+        lifetimes = self.lifetimes.get(candidate.cls)
+        remaining = lifetimes.mean_remaining(candidate.age) if lifetimes is not None else None
+        fraction = (
+            1.0
+            if remaining is None
+            else self.settings.min_remaining / max(remaining, self.settings.min_remaining)
+        )
+        return candidate.value * fraction / max(candidate.load, 0.05)
+
+    def _plan_move(self, candidate: Candidate, best_server: BestServer) -> PlannedMove | SkipReason:
+        source = self._servers.get(candidate.server)
+        target_id = best_server(candidate.request_id)
+        target = self._servers.get(target_id) if target_id is not None else None
         if source is None or target is None or target.id == source.id:
-            return SkipReason.BEST
+            return SkipReason.ALREADY_BEST
         if not target.usable or target.capacity <= 0.0:
-            return SkipReason.BEST
-        moved = self._moved.get(candidate.key)
-        if moved is not None and target.id in moved.sources:
-            return SkipReason.BACK
-        # A group goes whole, for each server that holds any of it pays: one that does not fit is not begun.
-        whole = candidate.load * max(1, candidate.group_size)
-        if candidate.group_size > 1 and self._full(target, whole) >= self._full(source):
-            return SkipReason.GROUP
-        # The fuller of the two has to be less full after it, by a part of what is moved, or it may swing.
-        gain = self._full(source) - self._full(target, candidate.load)
-        least = MIN_GAIN_FRACTION * candidate.load / max(source.capacity, MIN_CAPACITY)
-        if source.capacity > 0.0 and gain < least:
+            return SkipReason.ALREADY_BEST
+        earlier = self._recent_moves.get(candidate.key)
+        if earlier is not None and target.id in earlier.sources:
+            return SkipReason.MOVED_FROM_TARGET
+        # A group is moved only if all of it fits: each server that holds a part of it bears its cost.
+        group_load = candidate.load * max(1, candidate.group_size)
+        if candidate.group_size > 1 and self._utilization(target, group_load) >= self._utilization(source):
+            return SkipReason.GROUP_TOO_LARGE
+        # Prevents oscillation: the higher utilization of the two must drop by a fraction of the moved load.
+        gain = self._utilization(source) - self._utilization(target, candidate.load)
+        min_gain = MIN_GAIN_FRACTION * candidate.load / max(source.capacity, MIN_CAPACITY)
+        if source.capacity > 0.0 and gain < min_gain:
             return SkipReason.NO_GAIN
         return PlannedMove(candidate.request_id, candidate.key, source.id, target.id, candidate.group, gain)
 
-    def _shift(self, ident: str, load: float) -> None:
-        """What a move changes until the next look."""
-        place = self._places[ident]
-        self._places[ident] = replace(place, load=max(0.0, place.load + load))
+    def _add_load(self, ident: str, load: float) -> None:
+        """Account for a move until the next observation."""
+        server = self._servers[ident]
+        self._servers[ident] = replace(server, load=max(0.0, server.load + load))
 
-    def _made(self, now: float, planned: PlannedMove, load: float) -> None:
-        earlier = self._moved.pop(planned.key, None)
+    def _record_move(self, now: float, planned: PlannedMove, load: float) -> None:
+        earlier = self._recent_moves.pop(planned.key, None)
         sources = (*(earlier.sources if earlier is not None else ()), planned.source)[-4:]
-        self._moved[planned.key] = RecentMove(now, sources, planned.target)
-        while len(self._moved) > MAX_REMEMBERED_MOVES:
-            self._moved.popitem(last=False)
+        self._recent_moves[planned.key] = RecentMove(now, sources, planned.target)
+        while len(self._recent_moves) > MAX_REMEMBERED_MOVES:
+            self._recent_moves.popitem(last=False)
         self._group = (planned.group, planned.source) if planned.group is not None else None
-        self._last_target[planned.target] = now
-        self._shift(planned.source, -load)
-        self._shift(planned.target, load)
-        self.moves += 1
+        self._last_move_to[planned.target] = now
+        self._add_load(planned.source, -load)
+        self._add_load(planned.target, load)
+        self.move_count += 1
         self.pace.record_move(now)
 
-    # What is told
+    # Notifications
 
-    def _signal(self, signal: Signal, now: float) -> bool:
+    def _apply_signal(self, signal: Signal, now: float) -> bool:
         return self.pace.apply(signal, now)
 
     def on_established(self, now: float, key: int, server: str, set_up: float) -> Signal | None:
-        """A client is up here that may be one that was moved; the signal that it gave.
+        """Handle an established connection; return its signal if it is the return of a moved client.
 
-        `set_up` is how long it took from its return to UP, in ms.
+        `set_up` is the time from the client's return to UP, in ms.
         """
-        moved = self._moved.get(key)
-        if moved is None or not moved.awaiting_return:
+        move = self._recent_moves.get(key)
+        if move is None or not move.awaiting_return:
             return None
-        moved.awaiting_return = False
+        move.awaiting_return = False
         self.returns_by_server[server] += 1
         signal = Signal.RETURNED if set_up <= self.settings.return_deadline else Signal.SLOW_RETURN
-        self._signal(signal, now)
+        self._apply_signal(signal, now)
         return signal
 
     def on_refused(self, now: float, key: int, *, failed: bool = False) -> Signal | None:
-        """A client was refused here; the signal, where it is one that was moved."""
-        moved = self._moved.get(key)
+        """Handle a refused or failed request; return its signal if it is of a moved client."""
+        move = self._recent_moves.get(key)
         if (
-            moved is None
-            or not moved.awaiting_return
-            or now - moved.moved_at > 2.0 * self.settings.reservation_time
+            move is None
+            or not move.awaiting_return
+            or now - move.moved_at > 2.0 * self.settings.reservation_time
         ):
             return None
         signal = Signal.FAILED if failed else Signal.REFUSED
-        self._signal(signal, now)
+        self._apply_signal(signal, now)
         return signal
 
     def on_delay(self, now: float, server: str) -> Signal | None:
-        """Messages are late at a server; a signal where it took moved clients of late."""
-        at = self._last_target.get(server)
-        if at is None or now - at > 2.0 * self.pace.settings.cooldown:
+        """Handle delayed messages of a server; return a signal if it recently received moved clients."""
+        last_move_at = self._last_move_to.get(server)
+        if last_move_at is None or now - last_move_at > 2.0 * self.pace.settings.cooldown:
             return None
-        self._signal(Signal.DELAYED, now)
+        self._apply_signal(Signal.DELAYED, now)
         return Signal.DELAYED
 
     def expire_returns(self, now: float) -> int:
-        """Count the clients that went to other balancers, or away: not seen here for twice the hold."""
-        gone = 0
-        for moved in reversed(self._moved.values()):
-            if now - moved.moved_at > 6.0 * self.settings.reservation_time:
-                break  # those before it were looked at in earlier rounds
-            if moved.awaiting_return and now - moved.moved_at > 2.0 * self.settings.reservation_time:
-                moved.awaiting_return = False
-                gone += 1
-        self.not_returned += gone
-        return gone
+        """Count moved clients that did not return here within twice the reservation time."""
+        expired = 0
+        for move in reversed(self._recent_moves.values()):
+            if now - move.moved_at > 6.0 * self.settings.reservation_time:
+                break  # older moves were handled in earlier rounds
+            if move.awaiting_return and now - move.moved_at > 2.0 * self.settings.reservation_time:
+                move.awaiting_return = False
+                expired += 1
+        self.not_returned += expired
+        return expired
 
     def on_closed(self, cls: str, age: float, *, cut: bool) -> None:
-        """A connection ended at that age."""
+        """Record the lifetime of a connection that ended at that age in ms; `cut` as for `Lifetimes`."""
         self.lifetimes.setdefault(cls, Lifetimes()).record(age, cut=cut)
 
-    # What is kept over a restart
+    # Persistence
 
     def recent_moves(self, now: float) -> list[tuple[int, float, tuple[str, ...], str]]:
-        """The clients that still rest: key, ms since the move, where from, where to."""
+        """Return the clients in cooldown: key, ms since the move, sources, target."""
         return [
-            (key, now - moved.moved_at, moved.sources, moved.target)
-            for key, moved in self._moved.items()
-            if now - moved.moved_at < self.settings.move_cooldown
+            (key, now - move.moved_at, move.sources, move.target)
+            for key, move in self._recent_moves.items()
+            if now - move.moved_at < self.settings.move_cooldown
         ]
 
     def restore(
-        self, now: float, rate: float, rests: Iterable[tuple[int, float, tuple[str, ...], str]]
+        self, now: float, rate: float, moves: Iterable[tuple[int, float, tuple[str, ...], str]]
     ) -> None:
-        """Go on from what another process kept. It never moves faster than that one did."""
+        """Continue from the state of another process, at its rate or the start rate if that is lower."""
         self.pace.rate = min(max(rate, self.settings.pace.min_rate), self.settings.pace.start_rate)
-        for key, since, sources, target in rests:
-            if key not in self._moved and 0.0 <= since < self.settings.move_cooldown:
-                self._moved[key] = RecentMove(
-                    now - since, sources, target, awaiting_return=since < self.settings.reservation_time
+        for key, elapsed, sources, target in moves:
+            if key not in self._recent_moves and 0.0 <= elapsed < self.settings.move_cooldown:
+                self._recent_moves[key] = RecentMove(
+                    now - elapsed, sources, target, awaiting_return=elapsed < self.settings.reservation_time
                 )
--- a/puffinford/rebalance/service.py
+++ b/puffinford/rebalance/service.py
@@ -1,4 +1,4 @@
-"""The shell of rebalancing: rounds by the clock, the exchange's word, the log, operators' calls."""
+"""Runs rebalancing: periodic rounds, notifications of the exchange, logging, and the management calls."""
 
 from __future__ import annotations
 
@@ -26,120 +26,128 @@
 
 log = logging.getLogger(__name__)
 
-ROUND_INTERVAL_MS = 200.0  # ms between looks
-IDLE_ROUND_INTERVAL_MS = 1_000.0  # the same while nothing is out of balance
-MAX_SAVED_MOVES = 1_000  # clients at rest that the next process hears of, the latest
-MAX_SOURCES_PER_ROUND = 4  # servers whose connections are looked at in a round
+ROUND_INTERVAL_MS = 200.0
+IDLE_ROUND_INTERVAL_MS = 1_000.0  # while servers are in balance
+MAX_SAVED_MOVES = 1_000  # the latest moves, stored for the next process
+MAX_SOURCES_PER_ROUND = 4
 
 
-def planner_settings(told: RebalanceSettings) -> PlannerSettings:
-    """The operators' figures as the planner has them."""
-    pace = PaceSettings(told.start_rate, told.least_rate, told.most_rate, cooldown=told.cool)
+def planner_settings(operators: RebalanceSettings) -> PlannerSettings:
+    """Return the operators' settings as the planner's."""
+    pace = PaceSettings(
+        operators.start_rate, operators.least_rate, operators.most_rate, cooldown=operators.cool
+    )
     return PlannerSettings(
-        enabled=told.enabled,
-        start_ratio=told.start_at,
-        stop_ratio=told.stop_at,
-        settle_time=told.settle,
-        move_cooldown=told.rest,
-        return_cooldown=told.rest_back,
-        reservation_time=told.hold,
-        return_deadline=told.in_time,
+        enabled=operators.enabled,
+        start_ratio=operators.start_at,
+        stop_ratio=operators.stop_at,
+        settle_time=operators.settle,
+        move_cooldown=operators.rest,
+        return_cooldown=operators.rest_back,
+        reservation_time=operators.hold,
+        return_deadline=operators.in_time,
         pace=pace,
     )
 
 
 class Rebalancer:
-    """One balancer's. It is the exchange's `observer`; `run` moves until cancelled."""
+    """Rebalances the connections of one balancer: the exchange's `observer`, and `run` until cancelled."""
 
     def __init__(
         self,
-        figures: PlannerSettings,
+        initial_settings: PlannerSettings,
         settings: Settings,
         exchange: Exchange,
         clock: Clock,
         rng: random.Random,
     ) -> None:
-        self.planner = Planner(figures, rng, settings.balancers)
+        self.planner = Planner(initial_settings, rng, settings.balancers)
         self._exchange = exchange
         self._clock = clock
-        self._late_from = 0.0
-        self._worth: dict[str, float] = {}
-        self._told: SkipReason | None = None
-        self._wanted: frozenset[str] = frozenset()
+        self._delay_threshold = 0.0  # ms
+        self._values: dict[str, float] = {}  # by class
+        self._last_reason: SkipReason | None = None
+        self._preferred: frozenset[str] = frozenset()
         self.take_settings(settings)
 
     def take_settings(self, settings: Settings) -> None:
-        """The classes and their worth, at the start and after a reload."""
-        self._worth = {cls.name: cls.value for cls in settings.classes}
+        """Apply the request classes, at the start and after a reload."""
+        self._values = {cls.name: cls.value for cls in settings.classes}
         self.planner.pace.return_weight = settings.balancers
         aims = [cls.message_aim for cls in settings.classes if cls.message_aim > 0]
-        self._late_from = min(aims, default=float("inf"))
+        self._delay_threshold = min(aims, default=float("inf"))
 
-    # The exchange's word
+    # RequestObserver
 
     def on_established(self, key: int, cls: str, server: str, set_up: float) -> None:
-        """A connection stands: perhaps that of a client that was moved."""
+        """Notify the planner, which recognizes the returns of moved clients."""
         signal = self.planner.on_established(self._clock.now(), key, server, set_up)
         if signal is not None:
-            self._tell_signal(signal.value, server=server, ms=round(set_up))
+            self._log_signal(signal.value, server=server, ms=round(set_up))
 
     def on_refused(self, key: int, cls: str, *, failed: bool) -> None:
-        """A client was turned away: perhaps one that was moved."""
+        """Notify the planner, which recognizes moved clients."""
         signal = self.planner.on_refused(self._clock.now(), key, failed=failed)
         if signal is not None:
-            self._tell_signal(signal.value)
+            self._log_signal(signal.value)
 
-    def on_closed(self, key: int, cls: str, server: str, stood: float, *, cut: bool) -> None:
-        """A connection ended: what lives are judged by."""
-        self.planner.on_closed(cls, stood, cut=cut)
+    def on_closed(self, key: int, cls: str, server: str, duration: float, *, cut: bool) -> None:
+        """Record the lifetime of a connection, in ms."""
+        self.planner.on_closed(cls, duration, cut=cut)
 
     def on_delay(self, server: str, delay: float) -> None:
-        """Messages are late there: a signal where it took moved clients."""
-        if delay > self._late_from:
+        """Notify the planner of messages delayed beyond the aim."""
+        if delay > self._delay_threshold:
             signal = self.planner.on_delay(self._clock.now(), server)
             if signal is not None:
-                self._tell_signal(signal.value, server=server, ms=round(delay))
+                self._log_signal(signal.value, server=server, ms=round(delay))
 
-    def _tell_signal(self, signal: str, **more: object) -> None:
+    def _log_signal(self, signal: str, **fields: object) -> None:
         rate = round(self.planner.pace.rate, 2)
-        log.info("rebalance signal", extra={"signal": signal, "rate": rate, **more})
+        log.info("rebalance signal", extra={"signal": signal, "rate": rate, **fields})
 
     # Rounds
 
     async def run(self) -> None:
-        """Look and move, until cancelled."""
+        """Run rounds until cancelled."""
         while True:
             await self._clock.sleep(ROUND_INTERVAL_MS if self.planner.moving else IDLE_ROUND_INTERVAL_MS)
-            self.round()
+            self.run_round()
 
-    def round(self) -> int:
-        """One look; the moves made."""
+    def run_round(self) -> int:
+        """Observe the servers and make the moves that are due; return their number."""
         now = self._clock.now()
         planner = self.planner
         planner.expire_returns(now)
-        places = [
+        servers = [
             ServerLoad(s.server, s.load, s.capacity, s.usable, s.degraded, s.connection_count)
             for s in self._exchange.survey()
         ]
-        was = planner.moving
-        why = planner.observe(now, places)
-        if planner.moving != was or (why is SkipReason.DEGRADED and self._told is not why):
+        was_moving = planner.moving
+        reason = planner.observe(now, servers)
+        if planner.moving != was_moving or (
+            reason is SkipReason.DEGRADED and self._last_reason is not reason
+        ):
             event = (
-                "rebalance begins" if planner.moving and not was else "rebalance ends" if was else "rebalance"
+                "rebalance begins"
+                if planner.moving and not was_moving
+                else "rebalance ends"
+                if was_moving
+                else "rebalance"
             )
             log.info(event, extra={"ratio": round(planner.imbalance, 2), "why": planner.reason.value})
-        self._told = why
-        wanted = planner.underloaded() if why in (None, SkipReason.PACE) else frozenset()
-        if wanted != self._wanted:
-            self._wanted = wanted
-            self._exchange.prefer(wanted)
-        made = 0
-        while why is None and planner.pace.is_due(now) and self._one(now):
-            made += 1
-        return made
+        self._last_reason = reason
+        preferred = planner.underloaded() if reason in (None, SkipReason.RATE_LIMITED) else frozenset()
+        if preferred != self._preferred:
+            self._preferred = preferred
+            self._exchange.prefer(preferred)
+        moves = 0
+        while reason is None and planner.pace.is_due(now) and self._move_one(now):
+            moves += 1
+        return moves
 
-    def _one(self, now: float) -> bool:
-        """Make one move, if there is one to make."""
+    def _move_one(self, now: float) -> bool:
+        """Make one move; return whether there was one to make."""
         for source in self.planner.sources()[:MAX_SOURCES_PER_ROUND]:
             sample = [
                 Candidate(
@@ -147,15 +155,15 @@
                     flow.key,
                     source.id,
                     flow.cls,
-                    self._worth.get(flow.cls, 1.0),
+                    self._values.get(flow.cls, 1.0),
                     flow.load,
                     now - flow.placed_at,
                     flow.group,
-                    quiet,
+                    idle,
                     flow.came_back,
                     flow.group_size,
                 )
-                for flow, quiet in self._exchange.established_connections(
+                for flow, idle in self._exchange.established_connections(
                     source.id, self.planner.settings.sample_size
                 )
             ]
@@ -180,39 +188,45 @@
             },
         )
 
-    # What is kept over a restart
+    # Persistence
 
     def pace_record(self, offset: float) -> PaceRecord | None:
-        """How far it has come; None while it is switched off. `offset`: the record's time less the host's."""
+        """Return the progress for the store; None while rebalancing is disabled.
+
+        `offset` is the store's time minus the process clock's, in ms.
+        """
         planner, now = self.planner, self._clock.now()
         if not planner.settings.enabled:
             return None
-        rests = [
-            (key, now - since + offset, was, to)
-            for key, since, was, to in planner.recent_moves(now)[-MAX_SAVED_MOVES:]
+        moves = [
+            (key, now - elapsed + offset, sources, target)
+            for key, elapsed, sources, target in planner.recent_moves(now)[-MAX_SAVED_MOVES:]
         ]
-        return PaceRecord(planner.pace.rate, rests)
+        return PaceRecord(planner.pace.rate, moves)
 
     def restore_pace(self, record: PaceRecord, offset: float) -> None:
-        """Go on from what another process of this balancer had come to; `offset` as for `pace_record`."""
+        """Continue from the progress of another process of this balancer; `offset` as for `pace_record`."""
         now = self._clock.now()
-        rests = [(key, now - (at - offset), was, to) for key, at, was, to in record.recent_moves]
-        self.planner.restore(now, record.rate, rests)
+        moves = [
+            (key, now - (moved_at - offset), sources, target)
+            for key, moved_at, sources, target in record.recent_moves
+        ]
+        self.planner.restore(now, record.rate, moves)
 
-    # Operators
+    # Management
 
     def handle_call(self, call: Call) -> Reply:
-        """The calls under /admin/rebalance."""
+        """Answer the calls under /admin/rebalance."""
         match call.path[2:]:
             case ():
                 if call.method != "GET":
                     return Reply(405, "GET is the method here", allow="GET")
                 return Reply(200, json.dumps(self.report()))
-            case ("start" | "pause" as what,):
-                wanted = {"paused": what == "pause"}
+            case ("start" | "pause" as command,):
+                change = {"paused": command == "pause"}
             case ("limit", text):
                 try:
-                    wanted = {"limit": units.rate(0.001, 1_000.0)(text.replace("-", "/"))}
+                    change = {"limit": units.rate(0.001, 1_000.0)(text.replace("-", "/"))}
                 except ValueError as exc:
                     return Reply(400, str(exc))
             case _:
@@ -221,9 +235,9 @@
             return Reply(405, "POST is the method here", allow="POST")
         if not self.planner.settings.enabled:
             return Reply(409, "rebalancing is switched off: see section rebalance of the operators' file")
-        return self._command(**wanted)
+        return self._apply_command(**change)
 
-    def _command(self, paused: bool | None = None, limit: float | None = None) -> Reply:
+    def _apply_command(self, paused: bool | None = None, limit: float | None = None) -> Reply:
         planner = self.planner
         if paused is not None:
             planner.paused = paused
@@ -241,19 +255,19 @@
         return Reply(200, json.dumps(state))
 
     def report(self) -> dict[str, Any]:
-        """Plan, progress, and why what is not moved is not."""
+        """Return the plan, its progress, and why connections were not moved, as JSON fields."""
         planner = self.planner
         return {
             "state": "moving" if planner.moving else "resting",
             "why": planner.reason.value,
             "ratio": round(planner.imbalance, 3),
             "rate": round(planner.pace.rate, 3),
-            "moves": planner.moves,
+            "moves": planner.move_count,
             "landed": dict(planner.returns_by_server),
             "elsewhere": planner.not_returned,
             "clients_at_rest": len(planner.recent_moves(self._clock.now())),
             "signals": {signal.value: count for signal, count in planner.pace.signal_counts.items()},
-            "left_out": {why.value: count for why, count in planner.skipped.items()},
+            "left_out": {reason.value: count for reason, count in planner.skipped.items()},
             "servers": [
                 {
                     "server": s.server,
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""The rebalancing planner alone: its rules as properties, its order and its pace as stories."""
+"""The rebalancing planner without connections: its rules, the order of moves, and their rate."""
 
 from __future__ import annotations
 
@@ -17,34 +17,38 @@
 SETTINGS = PlannerSettings(settle_time=0.0, pace=PaceSettings(start_rate=100.0, max_rate=100.0, min_rate=0.5))
 
 
-def places(**loads: float) -> list[ServerLoad]:
+def server_loads(**loads: float) -> list[ServerLoad]:
     return [ServerLoad(ident, load, 1.0, connection_count=int(load)) for ident, load in loads.items()]
 
 
-def candidate(job: str, server: str = "a", **more: object) -> Candidate:
-    base: dict[str, object] = {"cls": "x", "worth": 1.0, "load": 1.0, "age": 10_000.0}
-    return Candidate(job, crc32(job.encode()), server, **(base | more))  # type: ignore[arg-type]
+def candidate(request_id: str, server: str = "a", **more: object) -> Candidate:
+    base: dict[str, object] = {"cls": "x", "value": 1.0, "load": 1.0, "age": 10_000.0}
+    return Candidate(request_id, crc32(request_id.encode()), server, **(base | more))  # type: ignore[arg-type]
 
 
-def planner(figures: PlannerSettings = SETTINGS) -> Planner:
-    return Planner(figures, random.Random(1))
+def create_planner(planner_settings: PlannerSettings = SETTINGS) -> Planner:
+    return Planner(planner_settings, random.Random(1))
 
 
 def test_moving_starts_over_the_band_and_stops_inside_it() -> None:
-    made = planner(PlannerSettings(settle_time=1_000.0, pace=SETTINGS.pace))
-    assert made.observe(0.0, places(a=12, b=10)) is SkipReason.BALANCED
-    assert made.observe(1.0, places(a=16, b=8)) is SkipReason.SETTLING
-    assert made.observe(1_001.0, places(a=16, b=8)) is None
-    assert made.observe(2_000.0, places(a=13.5, b=10.5)) is None, "inside the band it goes on"
-    assert made.observe(3_000.0, places(a=12.5, b=11.5)) is SkipReason.BALANCED
-    assert made.observe(4_000.0, places(a=14, b=10)) is SkipReason.BALANCED, "and does not start again there"
+    planner = create_planner(PlannerSettings(settle_time=1_000.0, pace=SETTINGS.pace))
+    assert planner.observe(0.0, server_loads(a=12, b=10)) is SkipReason.BALANCED
+    assert planner.observe(1.0, server_loads(a=16, b=8)) is SkipReason.SETTLING
+    assert planner.observe(1_001.0, server_loads(a=16, b=8)) is None
+    assert planner.observe(2_000.0, server_loads(a=13.5, b=10.5)) is None, (
+        "between the thresholds it continues"
+    )
+    assert planner.observe(3_000.0, server_loads(a=12.5, b=11.5)) is SkipReason.BALANCED
+    assert planner.observe(4_000.0, server_loads(a=14, b=10)) is SkipReason.BALANCED, (
+        "and does not start again"
+    )
 
 
 @pytest.mark.parametrize(
     ("seen", "why"),
     [
-        (places(a=3, b=1), SkipReason.FEW),
-        (places(a=30), SkipReason.FEW),
+        (server_loads(a=3, b=1), SkipReason.TOO_FEW_CONNECTIONS),
+        (server_loads(a=30), SkipReason.TOO_FEW_CONNECTIONS),
         (
             [
                 ServerLoad("a", 20, 1.0, degraded=True, connection_count=9),
@@ -54,111 +58,120 @@
         ),
     ],
 )
-def test_where_there_is_nothing_to_judge_by_nothing_moves(seen: list[ServerLoad], why: SkipReason) -> None:
-    assert planner().observe(0.0, seen) is why
+def test_nothing_is_moved_without_enough_connections_or_healthy_servers(
+    seen: list[ServerLoad], why: SkipReason
+) -> None:
+    assert create_planner().observe(0.0, seen) is why
 
 
 def test_balance_is_by_capacity_not_by_count() -> None:
-    made = planner()
+    planner = create_planner()
     assert (
-        made.observe(
+        planner.observe(
             0.0,
             [ServerLoad("a", 30, 3.0, connection_count=30), ServerLoad("b", 10, 1.0, connection_count=10)],
         )
         is SkipReason.BALANCED
     )
     assert (
-        made.observe(
+        planner.observe(
             1.0,
             [ServerLoad("a", 20, 0.5, connection_count=20), ServerLoad("b", 20, 2.0, connection_count=20)],
         )
         is None
     )
-    assert [place.id for place in made.sources()] == ["a"]
+    assert [server.id for server in planner.sources()] == ["a"]
 
 
 @pytest.mark.parametrize(
     ("spared", "why"),
     [
-        (candidate("j", quiet=False), SkipReason.BUSY),
-        (candidate("j", age=100.0), SkipReason.YOUNG),
-        (candidate("j", cls="short", age=60_000.0), SkipReason.ENDING),
+        (candidate("j", idle=False), SkipReason.AWAITING_ANSWER),
+        (candidate("j", age=100.0), SkipReason.RECENTLY_PLACED),
+        (candidate("j", cls="short", age=60_000.0), SkipReason.ENDING_SOON),
     ],
 )
-def test_clients_that_matter_now_are_left_alone(spared: Candidate, why: SkipReason) -> None:
-    made = planner()
+def test_clients_that_must_not_be_moved_now_are_skipped(spared: Candidate, why: SkipReason) -> None:
+    planner = create_planner()
     for n in range(40):
-        made.on_closed("short", 62_000.0 + n, cut=False)
-    assert made.observe(0.0, places(a=30, b=5)) is None
-    assert made.choose_move(0.0, [spared], lambda _: "b") is None
-    assert made.skipped[why] == 1
-    chosen = made.choose_move(0.0, [candidate("i"), spared], lambda _: "b")
+        planner.on_closed("short", 62_000.0 + n, cut=False)
+    assert planner.observe(0.0, server_loads(a=30, b=5)) is None
+    assert planner.choose_move(0.0, [spared], lambda _: "b") is None
+    assert planner.skipped[why] == 1
+    chosen = planner.choose_move(0.0, [candidate("i"), spared], lambda _: "b")
     assert chosen is not None and chosen.request_id == "i"
 
 
-def test_the_least_worth_for_the_load_goes_first_and_a_group_together() -> None:
-    made = planner()
-    made.observe(0.0, places(a=40, b=5))
+def test_the_least_value_for_the_load_is_moved_first_and_a_group_together() -> None:
+    planner = create_planner()
+    planner.observe(0.0, server_loads(a=40, b=5))
     sample = [
-        candidate("dear", worth=2.0),
+        candidate("dear", value=2.0),
         candidate("light", load=0.3),
         candidate("heavy", load=2.0, group=7),
-        candidate("same group", group=7, worth=2.0),
+        candidate("same group", group=7, value=2.0),
     ]
     order = []
     for _ in range(4):
-        chosen = made.choose_move(0.0, [c for c in sample if c.request_id not in order], lambda _: "b")
+        chosen = planner.choose_move(0.0, [c for c in sample if c.request_id not in order], lambda _: "b")
         assert chosen is not None
         order.append(chosen.request_id)
     assert order == ["heavy", "same group", "dear", "light"]
 
 
-def test_nothing_moves_to_where_it_came_from_or_to_where_it_is_as_full() -> None:
-    made = planner()
-    made.observe(0.0, places(a=30, b=5))
+def test_nothing_moves_back_to_a_source_or_to_an_equally_loaded_server() -> None:
+    planner = create_planner()
+    planner.observe(0.0, server_loads(a=30, b=5))
     one = candidate("one")
-    assert made.choose_move(0.0, [one], lambda _: "b") is not None
-    made.observe(100_000.0, places(a=5, b=30))
+    assert planner.choose_move(0.0, [one], lambda _: "b") is not None
+    planner.observe(100_000.0, server_loads(a=5, b=30))
     back = Candidate(one.request_id, one.key, "b", "x", 1.0, 1.0, 90_000.0)
-    assert made.choose_move(100_000.0, [back], lambda _: "a") is None and made.skipped[SkipReason.BACK] == 1
-    made.observe(200_000.0, places(a=30, b=29.9, c=2))
-    assert made.choose_move(200_000.0, [candidate("two")], lambda _: "b") is None
-    assert made.skipped[SkipReason.NO_GAIN] == 1
+    assert (
+        planner.choose_move(100_000.0, [back], lambda _: "a") is None
+        and planner.skipped[SkipReason.MOVED_FROM_TARGET] == 1
+    )
+    planner.observe(200_000.0, server_loads(a=30, b=29.9, c=2))
+    assert planner.choose_move(200_000.0, [candidate("two")], lambda _: "b") is None
+    assert planner.skipped[SkipReason.NO_GAIN] == 1
 
 
-def test_a_giant_group_is_not_torn_apart_and_the_rest_goes_round_it() -> None:
-    made = planner()
-    made.observe(0.0, places(a=40, b=5))
+def test_a_large_group_is_not_split_and_other_clients_are_moved_instead() -> None:
+    planner = create_planner()
+    planner.observe(0.0, server_loads(a=40, b=5))
     giant = candidate("giant", group=1, group_size=36)
-    assert made.choose_move(0.0, [giant], lambda _: "b") is None and made.skipped[SkipReason.GROUP] == 1
-    chosen = made.choose_move(
-        0.0, [giant, candidate("other", group=2, group_size=4, worth=9.0)], lambda _: "b"
+    assert (
+        planner.choose_move(0.0, [giant], lambda _: "b") is None
+        and planner.skipped[SkipReason.GROUP_TOO_LARGE] == 1
+    )
+    chosen = planner.choose_move(
+        0.0, [giant, candidate("other", group=2, group_size=4, value=9.0)], lambda _: "b"
     )
     assert chosen is not None and chosen.request_id == "other"
 
 
 def test_the_rate_grows_with_good_returns_and_falls_at_once() -> None:
     pace = Pace(
-        PaceSettings(start_rate=1.0, min_rate=0.2, max_rate=4.0, gain=0.1, cooldown=5_000.0), random.Random(1)
+        PaceSettings(start_rate=1.0, min_rate=0.2, max_rate=4.0, increment=0.1, cooldown=5_000.0),
+        random.Random(1),
     )
     for n in range(50):
         pace.apply(Signal.RETURNED, float(n))
     assert pace.rate == 4.0
     assert pace.apply(Signal.REFUSED, 100.0) and pace.rate == 2.0
-    assert not pace.apply(Signal.REFUSED, 110.0), "of one moment"
+    assert not pace.apply(Signal.REFUSED, 110.0), "during the cooldown"
     pace.apply(Signal.RETURNED, 120.0)
-    assert pace.rate == 2.0, "no growth while it cools"
+    assert pace.rate == 2.0, "no growth during the cooldown"
     assert pace.apply(Signal.DELAYED, 6_000.0) and pace.rate == 1.0
     assert pace.apply(Signal.DEGRADED, 20_000.0) and pace.rate == 0.2
     assert not pace.is_due(24_000.0) and pace.is_due(25_100.0)
 
 
-@pytest.mark.parametrize("look", [20.0, 200.0, 900.0])
-def test_moves_keep_to_the_rate_however_far_apart_the_looks_are(look: float) -> None:
+@pytest.mark.parametrize("interval", [20.0, 200.0, 900.0])
+def test_moves_keep_to_the_rate_at_any_interval_of_rounds(interval: float) -> None:
     pace = Pace(PaceSettings(start_rate=2.0, max_rate=2.0), random.Random(7))
     now, times = 0.0, []
     while now < 1_000_000.0:
-        now += look
+        now += interval
         while pace.is_due(now):
             pace.record_move(now)
             times.append(now)
@@ -168,149 +181,161 @@
     while pace.is_due(now):
         pace.record_move(now)
         times.append(now)
-    assert len(times) <= 12, "a long time without any is not made up for"
+    assert len(times) <= 12, "a long pause is not made up for"
 
 
 def test_returns_and_refusals_count_once_and_only_for_moved_clients() -> None:
-    made = planner()
-    made.observe(0.0, places(a=30, b=5))
-    chosen = made.choose_move(0.0, [candidate("one")], lambda _: "b")
+    planner = create_planner()
+    planner.observe(0.0, server_loads(a=30, b=5))
+    chosen = planner.choose_move(0.0, [candidate("one")], lambda _: "b")
     assert chosen is not None
-    assert made.on_established(100.0, 1234, "b", 5.0) is None
-    assert made.on_refused(100.0, chosen.key) is Signal.REFUSED
-    assert made.on_delay(200.0, "b") is Signal.DELAYED and made.on_delay(200.0, "a") is None
-    assert made.on_established(300.0, chosen.key, "b", 5.0) is Signal.RETURNED
-    assert made.on_established(400.0, chosen.key, "b", 5.0) is None
-    made.choose_move(0.0, [candidate("two")], lambda _: "b")
-    assert made.expire_returns(10_000.0) == 1 and made.expire_returns(20_000.0) == 0
-
-
-def test_rests_and_pace_go_on_in_the_next_process() -> None:
-    made = planner()
-    made.observe(0.0, places(a=30, b=5))
-    chosen = made.choose_move(0.0, [candidate("one")], lambda _: "b")
+    assert planner.on_established(100.0, 1234, "b", 5.0) is None
+    assert planner.on_refused(100.0, chosen.key) is Signal.REFUSED
+    assert planner.on_delay(200.0, "b") is Signal.DELAYED and planner.on_delay(200.0, "a") is None
+    assert planner.on_established(300.0, chosen.key, "b", 5.0) is Signal.RETURNED
+    assert planner.on_established(400.0, chosen.key, "b", 5.0) is None
+    planner.choose_move(0.0, [candidate("two")], lambda _: "b")
+    assert planner.expire_returns(10_000.0) == 1 and planner.expire_returns(20_000.0) == 0
+
+
+def test_cooldowns_and_rate_continue_in_the_next_process() -> None:
+    planner = create_planner()
+    planner.observe(0.0, server_loads(a=30, b=5))
+    chosen = planner.choose_move(0.0, [candidate("one")], lambda _: "b")
     assert chosen is not None
-    later = planner()
-    later.restore(50_000.0, 0.7, made.recent_moves(20_000.0))
-    assert later.pace.rate == 0.7
-    later.observe(50_000.0, places(a=30, b=5))
-    assert later.choose_move(50_000.0, [candidate("one")], lambda _: "b") is None
-    assert later.skipped[SkipReason.RESTING] == 1
-    assert made.recent_moves(70_000.0) == []
+    restored = create_planner()
+    restored.restore(50_000.0, 0.7, planner.recent_moves(20_000.0))
+    assert restored.pace.rate == 0.7
+    restored.observe(50_000.0, server_loads(a=30, b=5))
+    assert restored.choose_move(50_000.0, [candidate("one")], lambda _: "b") is None
+    assert restored.skipped[SkipReason.RECENTLY_MOVED] == 1
+    assert planner.recent_moves(70_000.0) == []
 
 
 @given(st.lists(st.floats(0.0, 1e6), min_size=10, max_size=200), st.floats(0.0, 2e6))
-def test_remaining_life_is_never_below_zero_or_past_all_that_was_seen(ages: list[float], age: float) -> None:
-    lives = Lifetimes()
+def test_the_remaining_time_is_bounded_by_the_lifetimes_seen(ages: list[float], age: float) -> None:
+    lifetimes = Lifetimes()
     for seen in ages:
-        lives.record(seen)
-    left = lives.mean_remaining(age)
+        lifetimes.record(seen)
+    left = lifetimes.mean_remaining(age)
     assert left is not None and 0.0 <= left <= 8.0 * max(*ages, age, 1_000.0) + 4_000.0
 
 
-def test_remaining_life_follows_what_was_seen() -> None:
+def test_the_remaining_time_follows_the_lifetimes_seen() -> None:
     rng = random.Random(4)
-    lives = Lifetimes()
+    lifetimes = Lifetimes()
     for _ in range(400):
-        lives.record(rng.expovariate(1 / 30_000.0))
-    young, old = lives.mean_remaining(0.0), lives.mean_remaining(20_000.0)
-    assert young is not None and 20_000.0 < young < 45_000.0
-    assert old is not None and 15_000.0 < old < 50_000.0, "an exponential life has no memory"
+        lifetimes.record(rng.expovariate(1 / 30_000.0))
+    at_start, later = lifetimes.mean_remaining(0.0), lifetimes.mean_remaining(20_000.0)
+    assert at_start is not None and 20_000.0 < at_start < 45_000.0
+    assert later is not None and 15_000.0 < later < 50_000.0, "an exponential distribution is memoryless"
     assert Lifetimes().mean_remaining(5.0) is None
 
 
-def test_what_outlives_all_that_was_seen_is_not_taken_for_about_to_end() -> None:
-    """In its first minute a process saw short lives alone, and moved nobody for all seemed to end soon."""
-    lives = Lifetimes()
+def test_a_connection_older_than_all_lifetimes_seen_is_not_expected_to_end_soon() -> None:
+    """A new process has seen short lifetimes only, and must not expect all older connections to end soon."""
+    lifetimes = Lifetimes()
     for age in range(1_000, 9_000, 400):
-        lives.record(float(age))
-    left = lives.mean_remaining(16_000.0)
+        lifetimes.record(float(age))
+    left = lifetimes.mean_remaining(16_000.0)
     assert left is not None and left > 15_000.0
 
 
 class Moving(RuleBasedStateMachine):
-    """A fleet of four servers under one planner: whatever happens, its rules hold."""
+    """Four servers and one planner, whose rules hold for any sequence of events."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
         self.rng = random.Random(3)
-        self.figures = PlannerSettings(
+        self.planner_settings = PlannerSettings(
             settle_time=500.0, move_cooldown=5_000.0, min_age=100.0, pace=PaceSettings(2.0, 0.5, 8.0)
         )
-        self.planner = Planner(self.figures, self.rng)
-        self.at: dict[str, str] = {}
-        self.placed: dict[str, float] = {}
-        self.was: dict[str, list[str]] = {}
+        self.planner = Planner(self.planner_settings, self.rng)
+        self.servers: dict[str, str] = {}
+        self.placed_at: dict[str, float] = {}
+        self.sources: dict[str, list[str]] = {}
         self.capacity = {"a": 1.0, "b": 1.0, "c": 2.0, "d": 0.2}
         self.moved_at: dict[str, float] = {}
         self.count = 0
 
-    def seen(self) -> list[ServerLoad]:
-        counts = {ident: sum(at == ident for at in self.at.values()) for ident in self.capacity}
+    def server_loads(self) -> list[ServerLoad]:
+        counts = {ident: sum(at == ident for at in self.servers.values()) for ident in self.capacity}
         return [
             ServerLoad(ident, counts[ident], can, connection_count=counts[ident])
             for ident, can in self.capacity.items()
         ]
 
-    def advise(self, job: str) -> str:
-        """As the module would: the emptiest by capacity."""
-        return min(self.seen(), key=lambda place: place.load / max(place.capacity, 0.02)).id
+    def best_server(self, request_id: str) -> str:
+        """Choose the server with the lowest utilization, as the decision module does."""
+        return min(self.server_loads(), key=lambda server: server.load / max(server.capacity, 0.02)).id
 
     @rule(server=st.sampled_from("abcd"), count=st.integers(1, 15))
     def arrive(self, server: str, count: int) -> None:
         for _ in range(count):
             self.count += 1
-            self.at[f"j{self.count}"] = server
-            self.placed[f"j{self.count}"] = self.now
+            self.servers[f"j{self.count}"] = server
+            self.placed_at[f"j{self.count}"] = self.now
 
     @rule(server=st.sampled_from("abcd"), can=st.sampled_from([0.0, 0.13, 0.5, 1.0, 2.0]))
     def change(self, server: str, can: float) -> None:
         self.capacity[server] = can
 
-    @precondition(lambda self: self.at)
+    @precondition(lambda self: self.servers)
     @rule(data=st.data())
     def leave(self, data: st.DataObject) -> None:
-        job = data.draw(st.sampled_from(sorted(self.at)))
-        self.planner.on_closed("x", self.now - self.placed[job], cut=False)
-        del self.at[job]
+        request_id = data.draw(st.sampled_from(sorted(self.servers)))
+        self.planner.on_closed("x", self.now - self.placed_at[request_id], cut=False)
+        del self.servers[request_id]
 
     @rule(signal=st.sampled_from(list(Signal)))
-    def hear(self, signal: Signal) -> None:
+    def receive_signal(self, signal: Signal) -> None:
         self.planner.pace.apply(signal, self.now)
 
     @rule(rounds=st.integers(1, 40))
     def run(self, rounds: int) -> None:
         for _ in range(rounds):
             self.now += 100.0
-            if self.planner.observe(self.now, self.seen()) is not None:
+            if self.planner.observe(self.now, self.server_loads()) is not None:
                 continue
-            for place in self.planner.sources():
+            for server in self.planner.sources():
                 sample = [
-                    Candidate(job, int(job[1:]), at, "x", 1.0, 1.0, self.now - self.placed[job])
-                    for job, at in self.at.items()
-                    if at == place.id
+                    Candidate(
+                        request_id,
+                        int(request_id[1:]),
+                        at,
+                        "x",
+                        1.0,
+                        1.0,
+                        self.now - self.placed_at[request_id],
+                    )
+                    for request_id, at in self.servers.items()
+                    if at == server.id
                 ]
-                if (planned := self.planner.choose_move(self.now, sample, self.advise)) is not None:
+                if (planned := self.planner.choose_move(self.now, sample, self.best_server)) is not None:
                     self.move(planned.request_id, planned.target)
                     break
 
-    def move(self, job: str, target: str) -> None:
+    def move(self, request_id: str, target: str) -> None:
         ratio = self.planner.imbalance
-        assert target not in self.was.get(job, []), "there and back"
-        assert self.planner.moving and ratio > self.figures.stop_ratio
-        self.was.setdefault(job, []).append(self.at[job])
-        assert self.now - self.placed[job] >= self.figures.min_age
-        assert self.now - self.moved_at.get(job, float("-inf")) >= self.figures.move_cooldown, (
-            "twice within its rest"
-        )
-        self.moved_at[job] = self.now
-        self.at[job] = target
-        self.placed[job] = self.now
+        assert target not in self.sources.get(request_id, []), "moved back to a source"
+        assert self.planner.moving and ratio > self.planner_settings.stop_ratio
+        self.sources.setdefault(request_id, []).append(self.servers[request_id])
+        assert self.now - self.placed_at[request_id] >= self.planner_settings.min_age
+        assert (
+            self.now - self.moved_at.get(request_id, float("-inf")) >= self.planner_settings.move_cooldown
+        ), "moved twice within the cooldown"
+        self.moved_at[request_id] = self.now
+        self.servers[request_id] = target
+        self.placed_at[request_id] = self.now
 
     @invariant()
-    def the_rate_stays_within_its_figures(self) -> None:
-        assert self.figures.pace.min_rate <= self.planner.pace.rate <= self.figures.pace.max_rate
+    def the_rate_stays_within_its_limits(self) -> None:
+        assert (
+            self.planner_settings.pace.min_rate
+            <= self.planner.pace.rate
+            <= self.planner_settings.pace.max_rate
+        )
 
 
 Moving.TestCase.settings = settings(max_examples=40, stateful_step_count=30, deadline=None)
@@ -319,24 +344,22 @@
 
 @settings(max_examples=40, deadline=None)
 @given(st.lists(st.integers(4, 40), min_size=2, max_size=12), st.integers(0, 9_999))
-def test_a_balanced_fleet_is_a_fixed_point_and_any_other_comes_to_balance(
-    loads: list[int], seed: int
-) -> None:
-    made = Planner(SETTINGS, random.Random(seed))
+def test_balanced_servers_stay_so_and_others_become_balanced(loads: list[int], seed: int) -> None:
+    planner = Planner(SETTINGS, random.Random(seed))
     counts = {f"s{n}": load for n, load in enumerate(loads)}
     at = {f"s{n}-{m}": f"s{n}" for n, load in enumerate(loads) for m in range(load)}
     mean = sum(loads) / len(loads)
-    least = sum(max(0.0, load - 1.1 * mean - 1.0) for load in loads)
+    min_moves = sum(max(0.0, load - 1.1 * mean - 1.0) for load in loads)
     now, moves = 0.0, 0
     for _ in range(3_000):
         now += 50.0
-        if made.observe(now, places(**counts)) is not None:
-            if made.reason is SkipReason.BALANCED:
+        if planner.observe(now, server_loads(**counts)) is not None:
+            if planner.reason is SkipReason.BALANCED:
                 break
             continue
-        for source in made.sources():
-            sample = [candidate(job, where) for job, where in at.items() if where == source.id]
-            if planned := made.choose_move(now, sample, lambda _: min(counts, key=counts.__getitem__)):
+        for source in planner.sources():
+            sample = [candidate(request_id, where) for request_id, where in at.items() if where == source.id]
+            if planned := planner.choose_move(now, sample, lambda _: min(counts, key=counts.__getitem__)):
                 counts[planned.source] -= 1
                 counts[planned.target] += 1
                 at[planned.request_id] = planned.target
@@ -347,4 +370,4 @@
     assert max(counts.values()) <= max(1.25 * mean, mean + 1.0) + 1e-9
     if max(loads) <= 1.25 * mean and min(loads) >= 0.75 * mean:
         assert moves == 0
-    assert moves <= 1.25 * least + len(loads) + sum(max(0.0, load - mean) for load in loads)
+    assert moves <= 1.25 * min_moves + len(loads) + sum(max(0.0, load - mean) for load in loads)
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -1,4 +1,4 @@
-"""Stories of rebalancing: the module's part, both fronts, and what operators call."""
+"""Rebalancing: the decision module's part, both fronts, and the management calls."""
 
 from __future__ import annotations
 
@@ -37,66 +37,68 @@
 )
 
 
-def rebalancer(here: Harness) -> Rebalancer:
-    made = Rebalancer(SETTINGS, settings(), here.exchange, here.clock, random.Random(2))
-    made.planner.settings = replace(SETTINGS, min_age=0.0)
-    here.exchange.observer = made
-    return made
+def create_rebalancer(here: Harness) -> Rebalancer:
+    rebalancer = Rebalancer(SETTINGS, settings(), here.exchange, here.clock, random.Random(2))
+    rebalancer.planner.settings = replace(SETTINGS, min_age=0.0)
+    here.exchange.observer = rebalancer
+    return rebalancer
 
 
 class Fleet:
-    """A module with servers, and a host that carries out what it wants at once."""
+    """The decision module with servers, and a host that executes its actions at once."""
 
     def __init__(self, names: str, **more: object) -> None:
         self.balancer = Balancer(settings(**more), 3)
         self.now = 100_000.0
-        self.at: dict[str, str] = {}
+        self.servers: dict[str, str] = {}
         self.moved: list[str] = []
         self.refused: list[str] = []
-        self.wakes: list[tuple[float, int]] = []
-        self.tell(ServerList(ListKind.REPLACE, [Server(name) for name in names]))
+        self.timers: list[tuple[float, int]] = []
+        self.dispatch(ServerList(ListKind.REPLACE, [Server(name) for name in names]))
 
-    def tell(self, *events: it.Event) -> None:
+    def dispatch(self, *events: it.Event) -> None:
         for action in self.balancer.handle(self.now, list(events)):
             match action:
                 case it.Attempt():
-                    self.at[action.id] = action.server
-                    self.tell(it.Established(action.id, 0, action.server, 1.0))
+                    self.servers[action.id] = action.server
+                    self.dispatch(it.Established(action.id, 0, action.server, 1.0))
                 case it.Move():
                     self.moved.append(action.id)
-                    del self.at[action.id]
+                    del self.servers[action.id]
                 case it.Refuse():
                     self.refused.append(action.id)
                 case it.SetTimer():
-                    self.wakes.append((self.now + action.delay, action.token))
+                    self.timers.append((self.now + action.delay, action.token))
 
-    def ask(self, job: str, key: int, **more: object) -> None:
-        self.tell(it.Request(job, "price-lookup", 2_000.0, key=key, **more))  # type: ignore[arg-type]
+    def request(self, request_id: str, key: int, **more: object) -> None:
+        self.dispatch(it.Request(request_id, "price-lookup", 2_000.0, key=key, **more))  # type: ignore[arg-type]
 
-    def pass_(self, ms: float) -> None:
+    def advance(self, ms: float) -> None:
         self.now += ms
-        due = [token for at, token in self.wakes if at <= self.now]
-        self.wakes = [wake for wake in self.wakes if wake[0] > self.now]
+        due = [token for at, token in self.timers if at <= self.now]
+        self.timers = [wake for wake in self.timers if wake[0] > self.now]
         for token in due:
-            self.tell(it.Timer(token))
+            self.dispatch(it.Timer(token))
 
     def loads(self) -> dict[str, float]:
         return {s.server: s.load for s in self.balancer.survey(self.now)}
 
 
-def test_a_kept_place_counts_until_its_client_comes_or_its_time_is_over() -> None:
+def test_a_reservation_counts_until_its_client_returns_or_it_expires() -> None:
     fleet = Fleet("a")
     for n in range(10):
-        fleet.ask(f"j{n}", n)
-    fleet.tell(ServerList(ListKind.UPDATE, [Server("b")]))
+        fleet.request(f"j{n}", n)
+    fleet.dispatch(ServerList(ListKind.UPDATE, [Server("b")]))
     assert fleet.balancer.best_server("j0", fleet.now) == "b"
-    fleet.tell(it.Relocate("j0", "b", 2_000.0), it.Relocate("j1", "b", 2_000.0), it.Relocate("j9", "x", 9.0))
+    fleet.dispatch(
+        it.Relocate("j0", "b", 2_000.0), it.Relocate("j1", "b", 2_000.0), it.Relocate("j9", "x", 9.0)
+    )
     assert fleet.moved == ["j0", "j1"] and fleet.loads() == {"a": 8.0, "b": 2.0}
-    fleet.ask("back", 0, came_back=True)
-    assert fleet.at["back"] == "b" and fleet.loads()["b"] == 2.0
-    fleet.pass_(2_500.0)
-    assert fleet.loads() == {"a": 8.0, "b": 1.0}, "the other client went elsewhere"
-    fleet.ask("later", 1, came_back=True)
+    fleet.request("back", 0, came_back=True)
+    assert fleet.servers["back"] == "b" and fleet.loads()["b"] == 2.0
+    fleet.advance(2_500.0)
+    assert fleet.loads() == {"a": 8.0, "b": 1.0}, "the other client did not return here"
+    fleet.request("later", 1, came_back=True)
     assert sum(fleet.loads().values()) == 10.0
 
 
@@ -104,55 +106,55 @@
     one, other = Fleet("abcd"), Fleet("abcd")
     for n in range(40):
         for fleet in (one, other):
-            fleet.ask(f"j{n}", n, group=n % 5)
+            fleet.request(f"j{n}", n, group=n % 5)
         for m in range(n):
             one.balancer.best_server(f"j{m}", one.now)
         one.balancer.survey(one.now)
         one.balancer.listed_servers.sample_established("a", 5)
-    assert one.at == other.at and one.loads() == other.loads()
+    assert one.servers == other.servers and one.loads() == other.loads()
 
 
-def test_clients_that_come_back_find_the_favoured_servers_and_others_the_ordinary_path() -> None:
-    """Two of three moved clients come back at another balancer, and most landed where it was full."""
+def test_clients_that_come_back_get_the_preferred_servers_and_others_the_regular_choice() -> None:
+    """Clients moved by other balancers must return to underloaded servers too."""
     fleet = Fleet("abcdefgh")
     for n in range(80):
-        fleet.ask(f"j{n}", n)
-    fleet.tell(it.PreferServers(frozenset("c")))
+        fleet.request(f"j{n}", n)
+    fleet.dispatch(it.PreferServers(frozenset("c")))
     for n in range(5):
-        fleet.ask(f"back{n}", 1_000 + n, came_back=True)
-        assert fleet.at[f"back{n}"] == "c"
-    fleet.tell(it.DelayUpdate("back0", "c", 900.0))
-    fleet.ask("late", 2_000, came_back=True)
-    assert fleet.at["late"] != "c", "not while it is slow"
-    fleet.tell(it.PreferServers())
+        fleet.request(f"back{n}", 1_000 + n, came_back=True)
+        assert fleet.servers[f"back{n}"] == "c"
+    fleet.dispatch(it.DelayUpdate("back0", "c", 900.0))
+    fleet.request("late", 2_000, came_back=True)
+    assert fleet.servers["late"] != "c", "not while it is slow"
+    fleet.dispatch(it.PreferServers())
     assert fleet.balancer._preferred == frozenset()
 
 
-def test_a_cold_server_pays_for_moved_clients_from_the_same_budget() -> None:
+def test_moved_clients_count_against_the_budget_of_a_cold_server() -> None:
     fleet = Fleet("a", warm_time=20_000.0, cold_from=0.1)
     for n in range(60):
-        fleet.ask(f"j{n}", n)
-    fleet.tell(ServerList(ListKind.UPDATE, [Server("b", started=fleet.now)]))
+        fleet.request(f"j{n}", n)
+    fleet.dispatch(ServerList(ListKind.UPDATE, [Server("b", started=fleet.now)]))
     for n in range(60):
-        fleet.tell(it.Relocate(f"j{n}", "b", 2_000.0))
-    assert len(fleet.moved) <= 2, "no more than the credit of a moment"
+        fleet.dispatch(it.Relocate(f"j{n}", "b", 2_000.0))
+    assert len(fleet.moved) <= 2, "no more than the budget of that moment"
 
 
-def test_the_place_of_a_server_that_died_meanwhile_is_no_place() -> None:
+def test_a_reservation_at_a_server_that_left_is_void() -> None:
     fleet = Fleet("abc")
     for n in range(9):
-        fleet.ask(f"j{n}", n)
-    job = next(job for job, at in fleet.at.items() if at == "a")
-    fleet.tell(it.Relocate(job, "b", 2_000.0))
-    fleet.tell(ServerList(ListKind.UPDATE, [Server("b", state=it.ServerState.GONE)]))
-    fleet.ask("back", int(job[1:]), came_back=True)
-    assert fleet.at["back"] in ("a", "c") and not fleet.refused
+        fleet.request(f"j{n}", n)
+    request_id = next(request_id for request_id, at in fleet.servers.items() if at == "a")
+    fleet.dispatch(it.Relocate(request_id, "b", 2_000.0))
+    fleet.dispatch(ServerList(ListKind.UPDATE, [Server("b", state=it.ServerState.GONE)]))
+    fleet.request("back", int(request_id[1:]), came_back=True)
+    assert fleet.servers["back"] in ("a", "c") and not fleet.refused
 
 
 @pytest.mark.parametrize("front", ["lines", "channels"])
 async def test_clients_are_moved_between_lines_and_come_back_to_the_fresh_server(front: str) -> None:
     async with harness() as here:
-        plan = rebalancer(here)
+        rebalancer = create_rebalancer(here)
         await here.server("s-1", echo)
         peers: list[Peer | ChannelPeer] = []
         for n in range(16):
@@ -167,16 +169,18 @@
                 assert isinstance(await channel.next(), codec.OpenConfirmation)
         await here.settle()
         here.clock.advance(5_000.0)
-        assert plan.round() == 0 and plan.planner.reason.value == "too few connections to judge"
+        assert (
+            rebalancer.run_round() == 0 and rebalancer.planner.reason.value == "too few connections to judge"
+        )
         await here.server("s-2", echo)
         here.clock.advance(1_000.0)
         for _ in range(40):
-            plan.round()
+            rebalancer.run_round()
             here.clock.advance(50.0)
             await here.settle()
-        moved = plan.planner.moves
+        moved = rebalancer.planner.move_count
         survey = {s.server: s.connection_count for s in here.exchange.survey()}
-        assert moved == 8 and survey == {"s-1": 16 - moved, "s-2": moved}, "places are kept"
+        assert moved == 8 and survey == {"s-1": 16 - moved, "s-2": moved}, "slots are reserved"
         if front == "channels":
             assert "move@" in str(await channel.next())
             return
@@ -189,13 +193,13 @@
                     back.append(await here.client(b"OPEN b%x %x c=price-lookup,d=2000,again=1" % (n, n)))
                     assert await back[-1].line() == b"UP r1\r\n"
         await here.settle()
-        assert len(back) == moved and plan.planner.returns_by_server == {"s-2": moved}
-        assert plan.planner.pace.signal_counts.total() == moved
+        assert len(back) == moved and rebalancer.planner.returns_by_server == {"s-2": moved}
+        assert rebalancer.planner.pace.signal_counts.total() == moved
         here.clock.advance(3_000.0)
-        assert plan.round() == 0 and plan.planner.reason.value == "in balance"
+        assert rebalancer.run_round() == 0 and rebalancer.planner.reason.value == "in balance"
 
 
-async def test_a_client_with_a_line_unanswered_is_left_alone() -> None:
+async def test_a_client_with_a_line_unanswered_is_not_moved() -> None:
     async def deaf(peer: Peer) -> None:
         await peer.line()
         await peer.send_line(b"UP r1")
@@ -203,7 +207,7 @@
             pass
 
     async with harness() as here:
-        plan = rebalancer(here)
+        rebalancer = create_rebalancer(here)
         await here.server("s-1", deaf)
         clients = [await here.client(b"OPEN %x %x c=price-lookup,d=2000" % (n, n)) for n in range(12)]
         for client in clients:
@@ -213,18 +217,18 @@
         await here.settle()
         await anyio.sleep(0.02)
         here.clock.advance(50.0)
-        assert plan.round() == 0
-        assert plan.planner.skipped.keys() == {type(plan.planner.reason).BUSY}
+        assert rebalancer.run_round() == 0
+        assert rebalancer.planner.skipped.keys() == {type(rebalancer.planner.reason).AWAITING_ANSWER}
 
 
 async def test_operators_watch_pause_and_limit(capsys: pytest.CaptureFixture[str], tmp_path: Path) -> None:
     async with harness() as here:
-        plan = rebalancer(here)
+        rebalancer = create_rebalancer(here)
         await here.server("s-1", echo)
-        port = here.management(extras={"rebalance": plan.handle_call})
+        port = here.management(extras={"rebalance": rebalancer.handle_call})
         status, text = await http_call(port, "GET /admin/rebalance")
         assert status == 200 and json.loads(text)["servers"][0]["server"] == "s-1"
-        for said, wanted in (
+        for call, expected_status in (
             ("POST /admin/rebalance/pause", 200),
             ("POST /admin/rebalance/limit/2-s", 200),
             ("POST /admin/rebalance/limit/many", 400),
@@ -232,14 +236,17 @@
             ("POST /admin/rebalance", 405),
             ("POST /admin/rebalance/stop", 404),
         ):
-            assert (await http_call(port, said))[0] == wanted, said
-        assert plan.planner.paused and plan.planner.pace.settings.max_rate == 2.0 >= plan.planner.pace.rate
+            assert (await http_call(port, call))[0] == expected_status, call
+        assert (
+            rebalancer.planner.paused
+            and rebalancer.planner.pace.settings.max_rate == 2.0 >= rebalancer.planner.pace.rate
+        )
         address = f"127.0.0.1:{port}"
         for words in (["show"], ["show", "--json"], ["start"], ["limit", "30/min"]):
             assert await anyio.to_thread.run_sync(main, ["rebalance", "--address", address, *words]) == 0
-        assert "s-1" in capsys.readouterr().out and not plan.planner.paused
-        assert plan.planner.pace.settings.max_rate == 0.5
-        plan.planner.configure(planner_settings(RebalanceSettings()))
+        assert "s-1" in capsys.readouterr().out and not rebalancer.planner.paused
+        assert rebalancer.planner.pace.settings.max_rate == 0.5
+        rebalancer.planner.configure(planner_settings(RebalanceSettings()))
         assert (await http_call(port, "POST /admin/rebalance/start"))[0] == 409
         failed = await anyio.to_thread.run_sync(main, ["rebalance", "--address", "127.0.0.1:1", "show"])
         assert failed == 1
@@ -248,22 +255,22 @@
 def test_a_server_that_is_empty_because_it_was_slow_is_not_filled_again() -> None:
     fleet = Fleet("ab", tells_delay=True)
     for n in range(40):
-        fleet.ask(f"j{n}", n)
+        fleet.request(f"j{n}", n)
     held = fleet.loads()["a"]
-    job = next(job for job, at in fleet.at.items() if at == "a")
-    fleet.tell(it.DelayUpdate(job, "a", 500.0))
-    assert fleet.loads()["a"] < 0.5 * held, "its clients were moved away"
+    request_id = next(request_id for request_id, at in fleet.servers.items() if at == "a")
+    fleet.dispatch(it.DelayUpdate(request_id, "a", 500.0))
+    assert fleet.loads()["a"] < 0.5 * held, "its clients were moved"
     for second in range(20):
-        fleet.pass_(1_000.0)
+        fleet.advance(1_000.0)
         usable = {s.server: s.usable for s in fleet.balancer.survey(fleet.now)}
         assert second >= 2 or not usable["a"]
-        for other in [job for job, at in fleet.at.items() if at == "b"][:3]:
-            fleet.tell(it.Relocate(other, "a", 500.0))
-        assert fleet.loads()["a"] <= 0.8 * held * 1.02**20 + 1.0, "no more than its room"
+        for other in [request_id for request_id, at in fleet.servers.items() if at == "b"][:3]:
+            fleet.dispatch(it.Relocate(other, "a", 500.0))
+        assert fleet.loads()["a"] <= 0.8 * held * 1.02**20 + 1.0, "no more than its capacity estimate"
 
 
-async def test_a_place_kept_at_a_server_that_is_gone_costs_the_client_one_claim() -> None:
-    """Discovery is stale: the fresh server died half-way, and is listed still."""
+async def test_a_reservation_at_a_server_that_is_gone_costs_the_client_one_attempt() -> None:
+    """The target stopped after the move, and discovery still lists it."""
     async with harness() as here:
         await here.server("s-1", echo)
         client = await here.client(b"OPEN a 1 c=price-lookup,d=2000")
@@ -278,16 +285,16 @@
         assert survey == {"s-1": (1, True), "s-2": (0, False)}
 
 
-def test_many_balancers_at_once_do_not_flood_what_is_cold_and_swing_nothing_back() -> None:
-    """The model, small: three balancers that hear nothing of each other, a third of the servers cold."""
+def test_many_balancers_do_not_flood_cold_servers_or_move_clients_back() -> None:
+    """Three independent balancers in the model, with a third of the servers cold."""
     outcome = Model(9, 3, 900, seed=2).run(120.0)
     assert outcome.ratios[0][1] > 1.4 and outcome.balanced_s < 60.0
     assert outcome.fill < 1.0 and outcome.back == 0
     assert outcome.moves <= 1.6 * outcome.least + 30
 
 
-async def stand_and_add_a_server(here: Harness, site: Site, port: int) -> list[Peer]:
-    """Clients that stand, and then a fresh server on the list."""
+async def connect_clients_and_add_a_server(here: Harness, site: Site, port: int) -> list[Peer]:
+    """Connect clients, then add a server to the list."""
     peers = []
     for n in range(24):
         peers.append(Peer(await anyio.connect_tcp("127.0.0.1", port)))
@@ -304,16 +311,16 @@
 async def test_a_reload_and_the_end_during_it_lose_nobody(tmp_path: Path) -> None:
     async with harness() as here:
         site = Site(here.tasks, tmp_path, 1)
-        site.operators.write_text(RAPID.format("on"))
+        site.operators.write_text(FAST_REBALANCING.format("on"))
         async with site.program() as running:
             port = await running.port(b"lines")
             await running.wait_for_log(b"list=replace")
-            peers = await stand_and_add_a_server(here, site, port)
+            peers = await connect_clients_and_add_a_server(here, site, port)
             await running.wait_for_log(b'event="rebalance move" .*to=s-9 .*moved=True')
-            site.operators.write_text(RAPID.format("off"))
+            site.operators.write_text(FAST_REBALANCING.format("off"))
             running.process.send_signal(signal.SIGHUP)
             await running.wait_for_log(b"event=reloaded")
-            site.operators.write_text(RAPID.format("on") + " bogus 1\n")
+            site.operators.write_text(FAST_REBALANCING.format("on") + " bogus 1\n")
             running.process.send_signal(signal.SIGHUP)
             await running.wait_for_log(b'event="reload failed"')
             running.process.send_signal(signal.SIGTERM)
@@ -324,19 +331,19 @@
             running.process.kill()
 
 
-async def test_a_new_version_goes_on_with_the_rests_of_the_old_one(tmp_path: Path) -> None:
+async def test_a_new_version_continues_the_cooldowns_of_the_old_one(tmp_path: Path) -> None:
     platform = socket.create_server(("127.0.0.1", 0))
     port, fd = platform.getsockname()[1], platform.fileno()
     (tmp_path / "tmp").mkdir()
     async with harness() as here:
         site = Site(here.tasks, tmp_path, 1)
         site.write_config(site.discovery.address, listen=f"127.0.0.1:{port}")
-        site.operators.write_text(RAPID.format("on"))
+        site.operators.write_text(FAST_REBALANCING.format("on"))
         words = ("serve", "--settings", str(site.operators))
         env = {"TMPDIR": str(tmp_path / "tmp"), "EDGE_SOCKET_FD": str(fd), "EDGE_MGMT": "127.0.0.1:0"}
         async with program(site.config, *words, fds=[fd], **env) as old:
             await old.wait_for_log(b"list=replace")
-            peers = await stand_and_add_a_server(here, site, port)
+            peers = await connect_clients_and_add_a_server(here, site, port)
             await old.wait_for_log(b'event="rebalance move" .*to=s-9 .*moved=True')
             async with program(site.config, *words, fds=[fd], **env) as new:
                 address = await new.port(b"management")
@@ -344,9 +351,9 @@
                     await anyio.sleep(0.01)
                 old.process.send_signal(signal.SIGTERM)
                 await new.wait_for_log(b'event="state writer"')
-                told = json.loads((await http_call(address, "GET /admin/rebalance"))[1])
-                assert told["clients_at_rest"] > 0 and told["moves"] == 0
-                assert told["rate"] <= 50.0, "it begins no faster than its start rate"
+                report = json.loads((await http_call(address, "GET /admin/rebalance"))[1])
+                assert report["clients_at_rest"] > 0 and report["moves"] == 0
+                assert report["rate"] <= 50.0, "not above the start rate"
                 for peer in peers:
                     await anyio.aclose_forcefully(peer.stream)
                 assert await old.process.wait() == 0
@@ -354,7 +361,7 @@
     platform.close()
 
 
-RAPID = """section rebalance
+FAST_REBALANCING = """section rebalance
     enabled {}
     settle 0ms
     start-rate 50/s
@@ -362,8 +369,8 @@
 """
 
 
-async def test_the_measured_story_in_short(tmp_path: Path) -> None:
-    """Two of ten servers restarted cold: what no run may show, whatever the machine's speed."""
+async def test_a_short_run_of_the_benchmark_keeps_the_rules(tmp_path: Path) -> None:
+    """With two of ten servers restarted, the rules hold at any speed of the host."""
     result = await anyio.to_thread.run_sync(partial(story.run, True, tmp_path, 1, 60, 60_000.0, 3.0, 9.0))
     assert not result.broken and not result.cold and not result.cut
     assert result.moves > 0
