--- a/puffinford/cli/state.py
+++ b/puffinford/cli/state.py
@@ -17,7 +17,7 @@
 from puffinford.operators.units import show_duration, show_size
 from puffinford.state import records, store
 from puffinford.state.keeper import store_file, trust_settings
-from puffinford.state.records import HealthRecord, ListRecord, ServerRecord, Stored
+from puffinford.state.records import HealthRecord, ListRecord, ServerRecord, StoreContents
 from puffinford.state.trust import age, trust_level
 from puffinford.text_table import format_table
 
@@ -61,7 +61,7 @@
     return place[0], told
 
 
-def _inspect(path: Path) -> Stored:
+def _inspect(path: Path) -> StoreContents:
     try:
         return store.inspect(path)
     except store.StoreError as exc:
--- a/puffinford/state/keeper.py
+++ b/puffinford/state/keeper.py
@@ -28,7 +28,7 @@
     OwnerRecord,
     PaceRecord,
     ServerRecord,
-    Stored,
+    StoreContents,
     encode,
     health_key,
     server_key,
@@ -136,7 +136,7 @@
 
     def start(self, known: ServerEntries | None) -> recovery.StartState:
         """Return the state to start with, from the store and the configuration's `known` list."""
-        stored: Stored | None = None
+        stored: StoreContents | None = None
         if self._store is not None:
             try:
                 stored = self._store.read()
@@ -182,7 +182,7 @@
         owner = OwnerRecord(sorted(self._classes))
         self._pending[OWNER_KEY] = encode(OWNER_KEY, owner, self._timeline.now())
 
-    def _discard_foreign_state(self, stored: Stored) -> None:
+    def _discard_foreign_state(self, stored: StoreContents) -> None:
         """Queue the deletion of all records of another deployment with the same balancer name and directory.
 
         Prevents a start with the servers of that deployment.
@@ -196,7 +196,7 @@
         keys = [LIST_KEY, PACE_KEY, *map(server_key, stored.servers), *map(health_key, stored.health)]
         self._pending.update(dict.fromkeys(keys))
 
-    def _adopt_stored(self, stored: Stored) -> None:
+    def _adopt_stored(self, stored: StoreContents) -> None:
         """Adopt the records that are stored already, so that they are not written again."""
         if stored.entry_count >= 0:
             # With the stored time base: if the current one differs, the next update writes the list record.
@@ -450,7 +450,7 @@
         if stored.belongs_to_other_deployment(self._classes):
             self._discard_foreign_state(stored)
             self._write_owner()
-            stored = Stored()
+            stored = StoreContents()
         self._is_foreign = False  # its records are deleted by the next commit
         now = self._timeline.now()
         if stored.pace is not None:
--- a/puffinford/state/records.py
+++ b/puffinford/state/records.py
@@ -110,7 +110,7 @@
 
 
 @dataclass
-class Stored:
+class StoreContents:
     """All valid records of a store. `confirmed_at` is Unix ms; 0 without a list."""
 
     version: int = 0
@@ -184,7 +184,7 @@
     return record, confirmed
 
 
-def load_pair(stored: Stored, key: bytes, value: bytes) -> None:
+def load_pair(stored: StoreContents, key: bytes, value: bytes) -> None:
     """Add one key-value pair of a store to `stored`; an invalid one is noted there and skipped."""
     try:
         if key == LIST_KEY:
--- a/puffinford/state/recovery.py
+++ b/puffinford/state/recovery.py
@@ -12,7 +12,7 @@
 from puffinford.interface import Health, Server, ServerState
 from puffinford.server_list.entries import FRONT_NAMES, STATES_BY_NAME
 from puffinford.state import trust
-from puffinford.state.records import HealthRecord, ServerRecord, Stored
+from puffinford.state.records import HealthRecord, ServerRecord, StoreContents
 
 _NAMES_BY_STATE = {state: name for name, state in STATES_BY_NAME.items()}
 _STATE_SEVERITY = {ServerState.LIVE: 0, ServerState.DRAINING: 1, ServerState.GONE: 2}
@@ -110,7 +110,7 @@
 
 
 def build_start_state(
-    stored: Stored | None,
+    stored: StoreContents | None,
     known: ServerEntries | None,
     now: float,
     offset: float,
@@ -149,14 +149,14 @@
     return StartState(restored, version, source, list_age)
 
 
-def _stored_entries(stored: Stored | None, offset: float, now: float) -> dict[str, ServerEntry]:
+def _stored_entries(stored: StoreContents | None, offset: float, now: float) -> dict[str, ServerEntry]:
     if stored is None:
         return {}
     entries = {record.id: to_server_entry(record, offset, now) for record, _ in stored.servers.values()}
     return {ident: entry for ident, entry in entries.items() if entry is not None}
 
 
-def _is_known_newer(version: int, known_age: float, stored: Stored | None, stored_age: float) -> bool:
+def _is_known_newer(version: int, known_age: float, stored: StoreContents | None, stored_age: float) -> bool:
     """Return whether `known` is newer than the store: by version where both have one, else by age."""
     if stored is None or not stored.servers:
         return True
@@ -173,7 +173,7 @@
 
 
 def _current_health(
-    stored: Stored, now: float, offset: float, trust_settings: trust.TrustSettings
+    stored: StoreContents, now: float, offset: float, trust_settings: trust.TrustSettings
 ) -> list[Health]:
     """Return the stored health that has not expired."""
     current = (
--- a/puffinford/state/store.py
+++ b/puffinford/state/store.py
@@ -23,7 +23,7 @@
 import lmdb
 
 from puffinford.state import records
-from puffinford.state.records import HEALTH_PREFIX, LIST_KEY, SERVER_PREFIX, Stored
+from puffinford.state.records import HEALTH_PREFIX, LIST_KEY, SERVER_PREFIX, StoreContents
 
 MIN_MAP_BYTES = 64 << 10  # LMDB needs several pages even for an empty store
 CHILD_TIMEOUT_S = 10.0  # for the child that reads a store; after that the store counts as unreadable
@@ -78,8 +78,8 @@
     )
 
 
-def _read(environment: lmdb.Environment) -> Stored:
-    stored = Stored()
+def _read(environment: lmdb.Environment) -> StoreContents:
+    stored = StoreContents()
     with environment.begin(buffers=True) as transaction:
         for key, value in transaction.cursor():
             records.load_pair(stored, bytes(key), bytes(value))
@@ -115,14 +115,14 @@
         """Whether this process holds the write lock."""
         return self._lock is not None
 
-    def read(self) -> Stored:
+    def read(self) -> StoreContents:
         """Return all valid records; raises StoreError."""
         with _translate_errors("read"):
             return _read(self._environment)
 
-    def read_health(self) -> Stored:
+    def read_health(self) -> StoreContents:
         """Return the health records only; raises StoreError."""
-        stored = Stored()
+        stored = StoreContents()
         with _translate_errors("read"), self._environment.begin(buffers=True) as transaction:
             cursor = transaction.cursor()
             if cursor.set_range(HEALTH_PREFIX):
@@ -226,7 +226,7 @@
     return Store(path, environment, lock, durable), rebuilt
 
 
-def inspect(path: Path) -> Stored:
+def inspect(path: Path) -> StoreContents:
     """Return the records of a store, for tools; works while a balancer uses the store. Raises StoreError.
 
     A child process reads the file, since a corrupted one can crash its reader.
@@ -287,7 +287,7 @@
             pairs = [(bytes(key), bytes(value)) for key, value in transaction.cursor()]
     except lmdb.Error as exc:
         return Verdict.UNREADABLE, str(exc)
-    stored = Stored()
+    stored = StoreContents()
     valid: list[tuple[int, bytes, bytes]] = []
     for key, value in pairs:
         rejected_before = len(stored.rejected)
@@ -312,7 +312,7 @@
     return verdict, reason
 
 
-def _rank(key: bytes, stored: Stored) -> int:
+def _rank(key: bytes, stored: StoreContents) -> int:
     if key == LIST_KEY:
         return 0
     if key.startswith(SERVER_PREFIX):
--- a/puffinford/state/timeline.py
+++ b/puffinford/state/timeline.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from puffinford.core.clock import Clock
-from puffinford.state.records import Stored
+from puffinford.state.records import StoreContents
 from puffinford.state.trust import CLOCK_SKEW_TOLERANCE_MS
 
 BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")  # proc(5): a new value at each boot
@@ -42,7 +42,7 @@
         """Return the current time of the store, in Unix ms."""
         return self._clock.now() + self.offset
 
-    def resume(self, stored: Stored) -> bool:
+    def resume(self, stored: StoreContents) -> bool:
         """Adopt the time base of a store written in this boot; return whether it was.
 
         A list confirmed in the future was written by a different monotonic clock, even with the same boot id.
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -45,9 +45,9 @@
 
 
 def create_store(path: Path, count: int = 20, durable: bool = False) -> Store:
-    made, _ = open_store(path, SIZE, durable=durable)
-    made.write(dict([list_pair(count), *(server_pair(f"s-{n}") for n in range(count))]))
-    return made
+    opened, _ = open_store(path, SIZE, durable=durable)
+    opened.write(dict([list_pair(count), *(server_pair(f"s-{n}") for n in range(count))]))
+    return opened
 
 
 def create_keeper(path: Path, learned: list[Health] | None = None, **settings: float) -> StateKeeper:
@@ -69,12 +69,12 @@
     from pathlib import Path
     from tests.test_store import list_pair, server_pair
     from puffinford.state.store import open_store
-    made, _ = open_store(Path(sys.argv[1]), 1 << 20, durable=sys.argv[2] == "durable")
+    opened, _ = open_store(Path(sys.argv[1]), 1 << 20, durable=sys.argv[2] == "durable")
     turn = 0
     print("ready", flush=True)
     while True:
         turn += 1
-        made.write(dict([list_pair(50, turn), *(server_pair(f"s-{n}", version=turn) for n in range(50))]))
+        opened.write(dict([list_pair(50, turn), *(server_pair(f"s-{n}", version=turn) for n in range(50))]))
 """
 
 
@@ -90,9 +90,9 @@
         writer.kill()
         writer.wait()
         writer.stdout.close()
-        made, rebuild = open_store(path, SIZE, durable=kind == "durable")
-        stored = made.read()
-        made.close()
+        opened, rebuild = open_store(path, SIZE, durable=kind == "durable")
+        stored = opened.read()
+        opened.close()
         assert rebuild is None and not stored.rejected
         assert {record.version for record, _ in stored.servers.values()} <= {stored.version}
         assert len(stored.servers) in (0, 50) and stored.version >= min(last, 1)
@@ -113,11 +113,11 @@
             if rotten:
                 rotten[rng.randrange(len(rotten))] ^= rng.randrange(1, 256)
         path.write_bytes(rotten)
-        made, rebuild = open_store(path, SIZE, durable=True)
-        stored = made.read()
+        opened, rebuild = open_store(path, SIZE, durable=True)
+        stored = opened.read()
         assert all(record.id.startswith("s-") and record.port == 80 for record, _ in stored.servers.values())
-        assert made.write(dict([server_pair("s-new")])) > 0, "a rebuilt store accepts writes"
-        made.close()
+        assert opened.write(dict([server_pair("s-new")])) > 0, "a rebuilt store accepts writes"
+        opened.close()
         verdicts.add(rebuild.verdict if rebuild else None)
         if rebuild and rebuild.verdict is Verdict.UNREADABLE:
             assert Path(rebuild.quarantined_path).exists() and not stored.servers
@@ -139,14 +139,14 @@
 
 def test_a_store_of_a_newer_release_is_set_aside_whole(tmp_path: Path) -> None:
     path = tmp_path / "state"
-    made = create_store(path)
+    opened = create_store(path)
     key, _ = server_pair("s-3")
-    made.write({key: encode(key, ServerRecord("s-3", "h", 1, "lines", "active", 1), NOW, schema=9)})
-    made.close()
-    made, rebuild = open_store(path, SIZE, durable=True)
+    opened.write({key: encode(key, ServerRecord("s-3", "h", 1, "lines", "active", 1), NOW, schema=9)})
+    opened.close()
+    opened, rebuild = open_store(path, SIZE, durable=True)
     assert rebuild is not None and rebuild.verdict is Verdict.NEWER and "schema 9" in rebuild.reason
-    assert not made.read().servers
-    made.close()
+    assert not opened.read().servers
+    opened.close()
     assert len(store.inspect(Path(rebuild.quarantined_path)).servers) == 19
 
 
@@ -158,14 +158,14 @@
         from pathlib import Path
         from tests.test_store import server_pair
         from puffinford.state.store import StoreError, open_store
-        made, _ = open_store(Path(sys.argv[1]), 1 << 20, durable=False)
-        assert not made.is_writer and not made.acquire_write_lock() and len(made.read().servers) == 20
+        opened, _ = open_store(Path(sys.argv[1]), 1 << 20, durable=False)
+        assert not opened.is_writer and not opened.acquire_write_lock() and len(opened.read().servers) == 20
         try:
-            made.write(dict([server_pair("x")]))
+            opened.write(dict([server_pair("x")]))
         except StoreError:
             print("reads", flush=True)
         sys.stdin.readline()
-        assert made.acquire_write_lock() and made.write(dict([server_pair("x")]))
+        assert opened.acquire_write_lock() and opened.write(dict([server_pair("x")]))
         print("writes", flush=True)
         sys.stdin.readline()
     """
@@ -191,9 +191,9 @@
     boot: str, tmp_path: Path
 ) -> None:
     """The list record must carry the new time base at once, though the list itself has not changed."""
-    made = create_store(tmp_path / "state", 1)
-    made.write({LIST_KEY: encode(LIST_KEY, ListRecord(1, 1, boot, 7.0), NOW)})
-    made.close()
+    opened = create_store(tmp_path / "state", 1)
+    opened.write({LIST_KEY: encode(LIST_KEY, ListRecord(1, 1, boot, 7.0), NOW)})
+    opened.close()
     keeper = create_keeper(tmp_path / "state")
     keeper.start(None)
     keeper.record_list(server_list("s-0", version=1))
@@ -269,8 +269,8 @@
     keeper = create_keeper(tmp_path / "state")
     put = Store._put
 
-    def fail_half_way(made: Store, pairs: store.Pairs) -> None:
-        with made._environment.begin(write=True) as transaction:
+    def fail_half_way(opened: Store, pairs: store.Pairs) -> None:
+        with opened._environment.begin(write=True) as transaction:
             for key in pairs:
                 transaction.put(key, b"half")
                 raise lmdb.Error(os.strerror(error))
@@ -293,14 +293,14 @@
 
 def test_a_store_never_passes_its_size_and_goes_on_when_it_is_full(tmp_path: Path) -> None:
     path = tmp_path / "state"
-    made, _ = open_store(path, 256 << 10, durable=False)
+    opened, _ = open_store(path, 256 << 10, durable=False)
     with pytest.raises(StoreFullError):
-        made.write(dict(server_pair(f"server-{n:06}") for n in range(5_000)))
+        opened.write(dict(server_pair(f"server-{n:06}") for n in range(5_000)))
     for turn in range(300):
-        made.write(dict(server_pair(f"server-{n:03}", version=turn) for n in range(100)))
-    assert made.used_bytes() <= 256 << 10 and path.stat().st_size <= 256 << 10
-    assert len(made.read().servers) == 100
-    made.close()
+        opened.write(dict(server_pair(f"server-{n:03}", version=turn) for n in range(100)))
+    assert opened.used_bytes() <= 256 << 10 and path.stat().st_size <= 256 << 10
+    assert len(opened.read().servers) == 100
+    opened.close()
 
 
 def test_a_full_disk_is_one_line_and_a_program_that_goes_on(tmp_path: Path) -> None:
@@ -400,9 +400,9 @@
         for _ in range(turns):
             await anyio.sleep(0)
         tasks.cancel_scope.cancel()
-    made, _ = open_store(tmp_path / "state", SIZE, durable=False)
-    assert set(made.read().servers) == {"s-1"}
-    made.close()
+    opened, _ = open_store(tmp_path / "state", SIZE, durable=False)
+    assert set(opened.read().servers) == {"s-1"}
+    opened.close()
 
 
 def test_a_known_list_that_discovery_only_adds_to_is_kept_whole(tmp_path: Path) -> None:
@@ -486,16 +486,16 @@
 
 def test_the_tools_show_move_verify_and_compact(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path, other, text = tmp_path / "state", tmp_path / "other", str(tmp_path / "export.json")
-    made = create_store(path, 3)
+    opened = create_store(path, 3)
     key = records.health_key("s-1")
-    made.write({key: encode(key, HealthRecord("s-1", failures=2), NOW)})
+    opened.write({key: encode(key, HealthRecord("s-1", failures=2), NOW)})
 
     def run(*words: str) -> tuple[int, str]:
         code = main(["state", *words])
         captured = capsys.readouterr()
         return code, captured.out + captured.err
 
-    made.close()
+    opened.close()
     code, out = run("show", "--file", str(path))
     assert code == 0 and "3 listed" in out and "down after 2 failures" in out
     assert run("show", "--file", str(path), "--json")[1].count('"server"') == 3
@@ -520,23 +520,23 @@
 
 def test_a_store_made_smaller_keeps_the_list_first(tmp_path: Path) -> None:
     path = tmp_path / "state"
-    made, _ = open_store(path, 8 << 20, durable=True)
+    opened, _ = open_store(path, 8 << 20, durable=True)
     pairs = dict(server_pair(f"gone-{n:05}", "left") for n in range(8_000))
-    made.write(pairs | dict([list_pair(50), *(server_pair(f"z-{n}") for n in range(50))]))
-    made.close()
-    made, rebuild = open_store(path, 512 << 10, durable=True)
-    stored = made.read()
+    opened.write(pairs | dict([list_pair(50), *(server_pair(f"z-{n}") for n in range(50))]))
+    opened.close()
+    opened, rebuild = open_store(path, 512 << 10, durable=True)
+    stored = opened.read()
     assert rebuild is not None and rebuild.verdict is Verdict.FULL
     assert stored.is_complete and 0 < len(stored.servers) < 8_000
-    made.close()
+    opened.close()
 
 
 def test_a_store_that_another_kind_of_file_took_the_place_of(tmp_path: Path) -> None:
     path = tmp_path / "state"
     path.write_text("not a store at all")
-    made, rebuild = open_store(path, SIZE, durable=True)
+    opened, rebuild = open_store(path, SIZE, durable=True)
     assert rebuild is not None and rebuild.verdict is Verdict.UNREADABLE
-    made.close()
+    opened.close()
     path.write_text("not a store at all")
     with pytest.raises(StoreError):
         open_store(path, SIZE, durable=False)
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -8,7 +8,7 @@
 from puffinford.core.values import ServerEntries, ServerEntry
 from puffinford.interface import Health, Server, ServerState
 from puffinford.state import trust
-from puffinford.state.records import HealthRecord, ServerRecord, Stored
+from puffinford.state.records import HealthRecord, ServerRecord, StoreContents
 from puffinford.state.recovery import (
     ListValidator,
     build_start_state,
@@ -30,13 +30,13 @@
     return ServerEntries(version, full, entries)
 
 
-def stored_list(version: int, age_ms: float, lost: int = 0, **states: str) -> Stored:
+def stored_list(version: int, age_ms: float, lost: int = 0, **states: str) -> StoreContents:
     servers = {
         ident: (ServerRecord(ident, "127.0.0.1", 2, "lines", state, version), NOW - age_ms)
         for ident, state in states.items()
     }
     listed_count = sum(state != "left" for state in states.values())
-    return Stored(version, NOW - age_ms, listed_count + lost, servers)
+    return StoreContents(version, NOW - age_ms, listed_count + lost, servers)
 
 
 @given(times, times)
