--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -58,9 +58,7 @@
         ),
     ],
 )
-def test_nothing_is_moved_without_enough_connections_or_healthy_servers(
-    seen: list[ServerLoad], why: SkipReason
-) -> None:
+def test_where_there_is_nothing_to_judge_by_nothing_moves(seen: list[ServerLoad], why: SkipReason) -> None:
     assert create_planner().observe(0.0, seen) is why
 
 
@@ -91,7 +89,7 @@
         (candidate("j", cls="short", age=60_000.0), SkipReason.ENDING_SOON),
     ],
 )
-def test_clients_that_must_not_be_moved_now_are_skipped(spared: Candidate, why: SkipReason) -> None:
+def test_clients_that_matter_now_are_left_alone(spared: Candidate, why: SkipReason) -> None:
     planner = create_planner()
     for n in range(40):
         planner.on_closed("short", 62_000.0 + n, cut=False)
@@ -102,7 +100,7 @@
     assert chosen is not None and chosen.request_id == "i"
 
 
-def test_the_least_value_for_the_load_is_moved_first_and_a_group_together() -> None:
+def test_the_least_worth_for_the_load_goes_first_and_a_group_together() -> None:
     planner = create_planner()
     planner.observe(0.0, server_loads(a=40, b=5))
     sample = [
@@ -119,7 +117,7 @@
     assert order == ["heavy", "same group", "dear", "light"]
 
 
-def test_nothing_moves_back_to_a_source_or_to_an_equally_loaded_server() -> None:
+def test_nothing_moves_to_where_it_came_from_or_to_where_it_is_as_full() -> None:
     planner = create_planner()
     planner.observe(0.0, server_loads(a=30, b=5))
     one = candidate("one")
@@ -135,7 +133,7 @@
     assert planner.skipped[SkipReason.NO_GAIN] == 1
 
 
-def test_a_large_group_is_not_split_and_other_clients_are_moved_instead() -> None:
+def test_a_giant_group_is_not_torn_apart_and_the_rest_goes_round_it() -> None:
     planner = create_planner()
     planner.observe(0.0, server_loads(a=40, b=5))
     giant = candidate("giant", group=1, group_size=36)
@@ -167,7 +165,7 @@
 
 
 @pytest.mark.parametrize("interval", [20.0, 200.0, 900.0])
-def test_moves_keep_to_the_rate_at_any_interval_of_rounds(interval: float) -> None:
+def test_moves_keep_to_the_rate_however_far_apart_the_looks_are(interval: float) -> None:
     pace = Pace(PaceSettings(start_rate=2.0, max_rate=2.0), random.Random(7))
     now, times = 0.0, []
     while now < 1_000_000.0:
@@ -198,7 +196,7 @@
     assert planner.expire_returns(10_000.0) == 1 and planner.expire_returns(20_000.0) == 0
 
 
-def test_cooldowns_and_rate_continue_in_the_next_process() -> None:
+def test_rests_and_pace_go_on_in_the_next_process() -> None:
     planner = create_planner()
     planner.observe(0.0, server_loads(a=30, b=5))
     chosen = planner.choose_move(0.0, [candidate("one")], lambda _: "b")
@@ -213,7 +211,7 @@
 
 
 @given(st.lists(st.floats(0.0, 1e6), min_size=10, max_size=200), st.floats(0.0, 2e6))
-def test_the_remaining_time_is_bounded_by_the_lifetimes_seen(ages: list[float], age: float) -> None:
+def test_remaining_life_is_never_below_zero_or_past_all_that_was_seen(ages: list[float], age: float) -> None:
     lifetimes = Lifetimes()
     for seen in ages:
         lifetimes.record(seen)
@@ -221,7 +219,7 @@
     assert left is not None and 0.0 <= left <= 8.0 * max(*ages, age, 1_000.0) + 4_000.0
 
 
-def test_the_remaining_time_follows_the_lifetimes_seen() -> None:
+def test_remaining_life_follows_what_was_seen() -> None:
     rng = random.Random(4)
     lifetimes = Lifetimes()
     for _ in range(400):
@@ -232,7 +230,7 @@
     assert Lifetimes().mean_remaining(5.0) is None
 
 
-def test_a_connection_older_than_all_lifetimes_seen_is_not_expected_to_end_soon() -> None:
+def test_what_outlives_all_that_was_seen_is_not_taken_for_about_to_end() -> None:
     """A new process has seen short lifetimes only, and must not expect all older connections to end soon."""
     lifetimes = Lifetimes()
     for age in range(1_000, 9_000, 400):
@@ -344,7 +342,9 @@
 
 @settings(max_examples=40, deadline=None)
 @given(st.lists(st.integers(4, 40), min_size=2, max_size=12), st.integers(0, 9_999))
-def test_balanced_servers_stay_so_and_others_become_balanced(loads: list[int], seed: int) -> None:
+def test_a_balanced_fleet_is_a_fixed_point_and_any_other_comes_to_balance(
+    loads: list[int], seed: int
+) -> None:
     planner = Planner(SETTINGS, random.Random(seed))
     counts = {f"s{n}": load for n, load in enumerate(loads)}
     at = {f"s{n}-{m}": f"s{n}" for n, load in enumerate(loads) for m in range(load)}
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -130,7 +130,7 @@
     assert fleet.balancer._preferred == frozenset()
 
 
-def test_moved_clients_count_against_the_budget_of_a_cold_server() -> None:
+def test_a_cold_server_pays_for_moved_clients_from_the_same_budget() -> None:
     fleet = Fleet("a", warm_time=20_000.0, cold_from=0.1)
     for n in range(60):
         fleet.request(f"j{n}", n)
@@ -199,7 +199,7 @@
         assert rebalancer.run_round() == 0 and rebalancer.planner.reason.value == "in balance"
 
 
-async def test_a_client_with_a_line_unanswered_is_not_moved() -> None:
+async def test_a_client_with_a_line_unanswered_is_left_alone() -> None:
     async def deaf(peer: Peer) -> None:
         await peer.line()
         await peer.send_line(b"UP r1")
@@ -285,7 +285,7 @@
         assert survey == {"s-1": (1, True), "s-2": (0, False)}
 
 
-def test_many_balancers_do_not_flood_cold_servers_or_move_clients_back() -> None:
+def test_many_balancers_at_once_do_not_flood_what_is_cold_and_swing_nothing_back() -> None:
     """Three independent balancers in the model, with a third of the servers cold."""
     outcome = Model(9, 3, 900, seed=2).run(120.0)
     assert outcome.ratios[0][1] > 1.4 and outcome.balanced_s < 60.0
@@ -331,7 +331,7 @@
             running.process.kill()
 
 
-async def test_a_new_version_continues_the_cooldowns_of_the_old_one(tmp_path: Path) -> None:
+async def test_a_new_version_goes_on_with_the_rests_of_the_old_one(tmp_path: Path) -> None:
     platform = socket.create_server(("127.0.0.1", 0))
     port, fd = platform.getsockname()[1], platform.fileno()
     (tmp_path / "tmp").mkdir()
@@ -369,7 +369,7 @@
 """
 
 
-async def test_a_short_run_of_the_benchmark_keeps_the_rules(tmp_path: Path) -> None:
+async def test_the_measured_story_in_short(tmp_path: Path) -> None:
     """With two of ten servers restarted, the rules hold at any speed of the host."""
     result = await anyio.to_thread.run_sync(partial(story.run, True, tmp_path, 1, 60, 60_000.0, 3.0, 9.0))
     assert not result.broken and not result.cold and not result.cut
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -236,7 +236,7 @@
             assert answer == b"UP r1\r\n" or (age_ms > 86_400_000.0 and answer.startswith(b"BUSY")), answer
 
 
-async def test_a_short_run_of_the_benchmark_keeps_the_rules(tmp_path: Path) -> None:
+async def test_the_measured_story_in_short(tmp_path: Path) -> None:
     """With dead and draining entries and no discovery, the rules hold at any speed of the host."""
     result = await anyio.to_thread.run_sync(story.run, 3.5, 3, 3_600_000.0, tmp_path)
     assert not result.broken and not result.to_draining and not result.dead_paid_twice
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -99,7 +99,7 @@
         last = stored.version
 
 
-def test_corruption_costs_the_record_or_the_store_and_never_the_start(tmp_path: Path) -> None:
+def test_rot_costs_the_record_or_the_store_and_never_the_start(tmp_path: Path) -> None:
     """Corrupted bytes anywhere, LMDB's own pages included, or a truncated file must not prevent a start."""
     path, rng = tmp_path / "state", Random(9)
     create_store(path, 200, durable=True).close()
@@ -124,7 +124,7 @@
     assert Verdict.UNREADABLE in verdicts and len(verdicts) > 1
 
 
-def test_a_corrupted_or_moved_record_is_detected() -> None:
+def test_a_changed_or_moved_record_is_found_out() -> None:
     key, value = server_pair("s-1")
     for at in range(len(value)):
         changed = bytearray(value)
@@ -361,7 +361,7 @@
     assert "state unusable" in caplog.text
 
 
-def test_changes_are_collected_and_servers_that_left_are_kept_for_a_while(tmp_path: Path) -> None:
+def test_what_changes_is_gathered_and_what_left_is_remembered_for_a_while(tmp_path: Path) -> None:
     path = tmp_path / "state"
     learned = [Health("s-1", 0.0, failures=3, retry_at=5.0), Health("s-9", 0.0, failures=1)]
     keeper = create_keeper(path, learned, forget_after=60_000.0)
@@ -458,7 +458,7 @@
     grown._store.close()
 
 
-def test_the_progress_of_rebalancing_is_restored(tmp_path: Path) -> None:
+def test_how_far_rebalancing_had_come_is_handed_on(tmp_path: Path) -> None:
     path = tmp_path / "state"
     restored: list[records.PaceRecord] = []
     pace = records.PaceRecord(2.5, [(7, NOW, ("s-1",), "s-2")])
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -40,7 +40,7 @@
 
 
 @given(times, times)
-def test_trust_falls_with_age_and_so_do_its_limits(one: float, other: float) -> None:
+def test_trust_falls_with_age_and_so_do_its_terms(one: float, other: float) -> None:
     younger, older = sorted((one, other))
     assert (
         1.0 >= trust.trust_level(younger, TRUST_SETTINGS) >= trust.trust_level(older, TRUST_SETTINGS) >= 0.0
