--- a/benchmarks/start/costs.py
+++ b/benchmarks/start/costs.py
@@ -17,8 +17,8 @@
 from puffinford.core.values import ServerEntries, ServerEntry
 from puffinford.interface import ListKind, RequestClass, Server, ServerState, Settings
 from puffinford.operators.schema import StateSettings
-from puffinford.state.keeper import Keeper
-from puffinford.state.recovery import ListGuard
+from puffinford.state.keeper import StateKeeper
+from puffinford.state.recovery import ListValidator
 
 
 def server_entries(count: int) -> list[ServerEntry]:
@@ -39,15 +39,15 @@
         place = (Path(directory) / "state", durable)
         clock = Clock()
         settings = StateSettings(size=64 << 20)
-        state_keeper = Keeper(settings, place, clock, list, lambda _: None)
-        state_keeper.note_list(ServerEntries(1, True, server_entries(count)))
-        state_keeper._commit_now()
+        state_keeper = StateKeeper(settings, place, clock, list, lambda _: None)
+        state_keeper.record_list(ServerEntries(1, True, server_entries(count)))
+        state_keeper._commit_blocking()
         assert state_keeper._store is not None
         state_keeper._store.close()
         exchange = _exchange(clock)
         gc.collect()
         started_at = time.perf_counter()
-        state_keeper = Keeper(settings, place, clock, exchange.health, exchange.learn)
+        state_keeper = StateKeeper(settings, place, clock, exchange.health, exchange.learn)
         start = state_keeper.start(None)
         exchange._apply_list(start.restored.entries, ListKind.RESTORED)
         elapsed = (time.perf_counter() - started_at) * 1_000.0
@@ -61,20 +61,20 @@
     with tempfile.TemporaryDirectory() as directory:
         clock, rng = Clock(), Random(3)
         exchange = _exchange(clock)
-        state_keeper = Keeper(
+        state_keeper = StateKeeper(
             StateSettings(), (Path(directory) / "state", False), clock, exchange.health, exchange.learn
         )
         fleet = server_entries(count)
-        guard = ListGuard()
+        guard = ListValidator()
         spent = {"store": 0.0, "all": 0.0}
 
         def apply_list(entries: ServerEntries) -> None:
             started_at = time.thread_time()
-            judged = guard.judge(entries)
+            judged = guard.validate(entries)
             assert judged.entries is not None
             exchange.take_list(judged.entries)
             applied_at = time.thread_time()
-            state_keeper.note_list(judged.entries)
+            state_keeper.record_list(judged.entries)
             end = time.thread_time()
             spent["store"] += end - applied_at
             spent["all"] += end - started_at
@@ -111,21 +111,21 @@
 def commit(record_count: int, durable: bool, runs: int = 50) -> float:
     """Return the median ms of a commit of `record_count` records."""
     with tempfile.TemporaryDirectory() as directory:
-        state_keeper = Keeper(
+        state_keeper = StateKeeper(
             StateSettings(), (Path(directory) / "state", durable), Clock(), list, lambda _: None
         )
         assert state_keeper._store is not None
         times = []
         for run in range(runs):
             state = ServerState.DRAINING if run % 2 else ServerState.LIVE
-            state_keeper.note_list(
+            state_keeper.record_list(
                 ServerEntries(
                     run,
                     False,
                     [ServerEntry(Server(f"s-{n}", state=state), "127.0.0.1", n) for n in range(record_count)],
                 )
             )
-            pending, state_keeper._due = state_keeper._due, {}
+            pending, state_keeper._pending = state_keeper._pending, {}
             times.append(state_keeper._store.write(pending))
         state_keeper._store.close()
         return sorted(times)[runs // 2]
--- a/puffinford/cli/state.py
+++ b/puffinford/cli/state.py
@@ -16,9 +16,9 @@
 from puffinford.operators.schema import StateSettings
 from puffinford.operators.units import show_duration, show_size
 from puffinford.state import records, store
-from puffinford.state.keeper import store_file, weights
-from puffinford.state.records import HealthRecord, ListRecord, ServerRecord, Stored
-from puffinford.state.trust import age, trust
+from puffinford.state.keeper import store_file, trust_settings
+from puffinford.state.records import HealthRecord, ListRecord, ServerRecord, StoreContents
+from puffinford.state.trust import age, trust_level
 from puffinford.text_table import format_table
 
 FORMAT = "puffinford-state"
@@ -65,11 +65,11 @@
     return location[0], state_settings
 
 
-def _read_store(path: Path) -> Stored:
+def _read_store(path: Path) -> StoreContents:
     """Read a store without opening it for writing; exit with an error if it cannot be read."""
     try:
         return store.inspect(path)
-    except store.StoreFailed as exc:
+    except store.StoreError as exc:
         fail(str(exc), 1)
         raise
 
@@ -95,7 +95,11 @@
     path, state_settings = _locate_store(settings, file, name)
     stored = _read_store(path)
     now = time.time() * 1_000.0
-    trust_level = trust(age(stored.confirmed, now), weights(state_settings)) if stored.entries >= 0 else 0.0
+    level = (
+        trust_level(age(stored.confirmed_at, now), trust_settings(state_settings))
+        if stored.entry_count >= 0
+        else 0.0
+    )
     rows = []
     for ident, (server, confirmed) in sorted(stored.servers.items()):
         health = stored.health.get(ident)
@@ -116,20 +120,20 @@
         document = {
             "file": str(path),
             "version": stored.version,
-            "confirmed_ms": stored.confirmed,
-            "trust": round(trust_level, 3),
-            "whole": stored.whole,
-            "rejected": stored.rotten,
+            "confirmed_ms": stored.confirmed_at,
+            "trust": round(level, 3),
+            "whole": stored.is_complete,
+            "rejected": stored.rejected,
             "servers": [dict(zip(columns, row, strict=True)) for row in rows],
         }
         click.echo(json.dumps(document, indent=1))
         return
     click.echo(
-        f"{path}: version {stored.version}, confirmed {_format_time(stored.confirmed)}"
-        f" ({_format_age(stored.confirmed, now)} ago), trust {trust_level:.2f},"
-        f" {stored.listed} listed, {len(stored.servers) - stored.listed} left"
+        f"{path}: version {stored.version}, confirmed {_format_time(stored.confirmed_at)}"
+        f" ({_format_age(stored.confirmed_at, now)} ago), trust {level:.2f},"
+        f" {stored.listed_count} listed, {len(stored.servers) - stored.listed_count} left"
     )
-    for text in stored.rotten:
+    for text in stored.rejected:
         click.echo(f"rejected {text}")
     if rows:
         click.echo(format_table(columns, rows))
@@ -160,7 +164,7 @@
         FORMAT,
         records.SCHEMA,
         stored.version,
-        stored.confirmed,
+        stored.confirmed_at,
         [(confirmed, record) for record, confirmed in stored.servers.values()],
         [(confirmed, record) for record, confirmed in stored.health.values()],
     )
@@ -188,9 +192,9 @@
     listed = sum(record.state != "left" for _, record in document.servers)
     pairs.append(_pair(records.LIST_KEY, ListRecord(document.version, listed), document.confirmed))
     try:
-        with store.writing(path):
-            store.copy_to(pairs, path, state_settings.size)
-    except store.StoreFailed as exc:
+        with store.exclusive_writer(path):
+            store.replace_store(pairs, path, state_settings.size)
+    except store.StoreError as exc:
         return fail(str(exc), 1)
     click.echo(f"{path}: {len(document.servers)} servers, {len(document.health)} learned")
 
@@ -206,18 +210,18 @@
     """Check every record of the store. The exit code is 1 if one is unusable."""
     path, _ = _locate_store(settings, file, name)
     stored = _read_store(path)
-    faults = list(stored.rotten)
-    if stored.newer:
-        faults.append(f"records of schema {stored.newer}, newer than {records.SCHEMA}")
-    if stored.entries >= 0 and not stored.whole:
-        faults.append(f"{stored.entries} servers were listed, {stored.listed} are there")
+    faults = list(stored.rejected)
+    if stored.newer_schema:
+        faults.append(f"records of schema {stored.newer_schema}, newer than {records.SCHEMA}")
+    if stored.entry_count >= 0 and not stored.is_complete:
+        faults.append(f"{stored.entry_count} servers were listed, {stored.listed_count} are there")
     if as_json:
         counts = {"servers": len(stored.servers), "learned": len(stored.health)}
         click.echo(json.dumps({"file": str(path), "sound": not faults, "wrong": faults, **counts}, indent=1))
         return fail("", 1) if faults else None
     if faults:
         return fail("\n".join(f"{path}: {text}" for text in faults), 1)
-    free = show_size(store.free_space(path) // (1 << 20) * (1 << 20))
+    free = show_size(store.free_bytes(path) // (1 << 20) * (1 << 20))
     click.echo(f"{path}: sound; {len(stored.servers)} servers, {len(stored.health)} learned; {free} free")
 
 
@@ -230,10 +234,12 @@
         return fail(f"{path}: no such store", 1)
     size_before = path.stat().st_size
     try:
-        with store.writing(path):
-            renewal = store.renew(path, state_settings.size)
-    except (store.StoreFailed, OSError) as exc:
+        with store.exclusive_writer(path):
+            rebuilt = store.rebuild(path, state_settings.size)
+    except (store.StoreError, OSError) as exc:
         return fail(str(exc), 1)
-    if renewal is not None:
-        fail(f"{path}: {renewal.verdict.name.lower()}: {renewal.why} {renewal.aside}".rstrip(), 1)
+    if rebuilt is not None:
+        fail(
+            f"{path}: {rebuilt.verdict.name.lower()}: {rebuilt.reason} {rebuilt.quarantined_path}".rstrip(), 1
+        )
     click.echo(f"{path}: {show_size(size_before)} before, {show_size(path.stat().st_size)} now")
--- a/puffinford/relay/entries.py
+++ b/puffinford/relay/entries.py
@@ -11,7 +11,7 @@
 from puffinford.interface import Server, ServerState
 from puffinford.server_list.entries import STATES_BY_NAME
 from puffinford.server_list.watch import CallFailed
-from puffinford.state.recovery import ListGuard
+from puffinford.state.recovery import ListValidator
 
 LEFT = "left"
 
@@ -94,10 +94,10 @@
 
 
 class RawListGuard:
-    """`ListGuard` for raw entries: a relay trusts the same answers as a balancer."""
+    """`ListValidator` for raw entries: a relay trusts the same answers as a balancer."""
 
     def __init__(self) -> None:
-        self._guard = ListGuard()
+        self._guard = ListValidator()
 
     @property
     def version(self) -> int | None:
@@ -107,7 +107,7 @@
     def judge(self, answer: RawList, current_entry: Callable[[str], RawEntry | None]) -> RawVerdict:
         """Decide what to apply of an answer; `current_entry` returns the present entry of an id."""
         servers = [_server_entry(entry) for entry in answer.entries]
-        verdict = self._guard.judge(ServerEntries(answer.version, answer.full, servers))
+        verdict = self._guard.validate(ServerEntries(answer.version, answer.full, servers))
         if verdict.entries is None:
             return RawVerdict(None, verdict.version, verdict.note)
         selected = _select_raw(verdict.entries.entries, answer.entries, current_entry)
@@ -119,7 +119,7 @@
 
 
 def _server_entry(entry: RawEntry) -> ServerEntry:
-    """The fields that `ListGuard` reads. An unknown state counts as live; each balancer judges it itself."""
+    """The fields that `ListValidator` reads. An unknown state counts as live; balancers check it."""
     return ServerEntry(Server(entry.id, state=STATES_BY_NAME.get(entry.state, ServerState.LIVE)), "", 0)
 
 
--- a/puffinford/scale/hollow_balancer.py
+++ b/puffinford/scale/hollow_balancer.py
@@ -1,6 +1,6 @@
 """A hollow balancer: the real list client and exchange, with in-memory clients and servers.
 
-`ListClient` (with `DiscoveryWatch` and `ListGuard`) and `Exchange` (with `Balancer`) are the classes that
+`ListClient` (with `DiscoveryWatch` and `ListValidator`) and `Exchange` (with `Balancer`) are the classes that
 `serve` runs. Fronts, the management address, stored state and rebalancing are left out, so a restarted hollow
 balancer requests a full list.
 """
@@ -25,7 +25,7 @@
 from puffinford.server_list.endpoints import rendezvous_order
 from puffinford.server_list.entries import parse_address
 from puffinford.state import recovery
-from puffinford.state.keeper import weights
+from puffinford.state.keeper import trust_settings
 from puffinford.state.list_client import ListClient
 
 VersionRecorder = Callable[[int, int], None]  # called with the balancer's number and the applied version
@@ -105,7 +105,9 @@
         self._exchange = Exchange(settings, seed, clock, connectors)
         placed = totals.placed.setdefault(number, Counter())
         self._exchange.observer = PlacementCounter(placed)
-        restored = recovery.merge(None, None, clock.now(), 0.0, weights(operators.state), 0.0)
+        restored = recovery.build_start_state(
+            None, None, clock.now(), 0.0, trust_settings(operators.state), 0.0
+        )
         self._recorder = ListRecorder(self._exchange, number, record, spec.skip)
         self._list_client = ListClient(self._recorder, restored, clock, lambda entries: None)
         discovery = parse_address(spec.discovery[number - spec.first])
--- a/puffinford/serve.py
+++ b/puffinford/serve.py
@@ -36,9 +36,9 @@
 from puffinford.management.cordons import Cordons
 from puffinford.management.http import HttpCallHandler
 from puffinford.management.versions import VersionRegistry
-from puffinford.rebalance.service import Rebalancer, figures
+from puffinford.rebalance.service import Rebalancer, planner_settings
 from puffinford.server_list.endpoints import rendezvous_order
-from puffinford.state.keeper import Keeper, store_file
+from puffinford.state.keeper import StateKeeper, store_file
 from puffinford.state.list_client import ListClient
 
 log = logging.getLogger(__name__)
@@ -77,25 +77,25 @@
         store_location = store_file(config.operators.state, config.state, config.name)
         exchange = self._exchange
         self._rebalancer = Rebalancer(
-            figures(config.operators.rebalance),
+            planner_settings(config.operators.rebalance),
             config.settings,
             exchange,
             clock,
             random.Random(config.seed ^ 0x4EBA),
         )
-        self._keeper = Keeper(
+        self._keeper = StateKeeper(
             config.operators.state,
             store_location,
             clock,
             exchange.health,
             exchange.learn,
-            self._rebalancer.kept,
-            self._rebalancer.go_on,
+            self._rebalancer.pace_record,
+            self._rebalancer.restore_pace,
             frozenset(cls.name for cls in config.settings.classes),
             start_times,
         )
         start = self._keeper.start(config.known)
-        self._list = ListClient(exchange, start, clock, self._keeper.note_list, start_times)
+        self._list = ListClient(exchange, start, clock, self._keeper.record_list, start_times)
         if config.inventory is not None:
             self._list.read(config.inventory)
         else:
@@ -112,7 +112,7 @@
         mgmt_tracker = ConnectionTracker(clock, DescriptorBudget(MAX_MGMT_DESCRIPTORS + 1, 0), idle_divisor=1)
         path = state_path(config.state, config.name)
         self._cordons = Cordons(path, self._exchange.cordon)
-        extras = {"rebalance": self._rebalancer.answer}
+        extras = {"rebalance": self._rebalancer.handle_call}
         http_handler = HttpCallHandler(
             AdminApi(self._exchange, self._cordons, self._lacking, extras).answer, mgmt_tracker
         )
@@ -213,7 +213,7 @@
         self._budget.close_at = signalled_at + plan.close_at
         self._rebalancer.planner.paused = True  # the drain moves every client
         if has_ready_successor:
-            self._keeper.let_go()
+            self._keeper.release_store()
         settle_ms = max(0.0, signalled_at + plan.move_from - self._clock.now())
         await self._exchange.drain(settle_ms, signalled_at + plan.answer_at - self._clock.now() - settle_ms)
         await self._end_connections(signalled_at + plan.last_at)
@@ -246,7 +246,7 @@
         while True:
             self._versions.refresh()
             if self._versions.has_successor:
-                self._keeper.hand_over()
+                self._keeper.publish_health()
             self._cordons.refresh()
             self._lacking()
             self._stop_if_succeeded()
@@ -283,7 +283,7 @@
         ready = not (reason or self._draining)
         if ready and not self._ready:
             # Read the learned state only now: until this process is ready the old version updates it.
-            self._keeper.take_over()
+            self._keeper.learn_from_writer()
         self._ready = ready
         self._versions.publish_ready(ready)
         return reason
@@ -320,7 +320,7 @@
             log.warning("discovery settings", extra={"in_force": "at the next start"})
         self._rebalancer.take_settings(config.settings)
         if config.operators.rebalance != old.operators.rebalance:
-            self._rebalancer.planner.configure(figures(config.operators.rebalance))
+            self._rebalancer.planner.configure(planner_settings(config.operators.rebalance))
             if config.operators.rebalance.enabled:
                 self._start_rebalancing()
         self._budget.limit = raise_descriptor_limit(config.limits.sockets)
--- a/tests/test_relay_age.py
+++ b/tests/test_relay_age.py
@@ -24,7 +24,7 @@
 from puffinford.server_list.discovery import DiscoveryWatch
 from puffinford.stage.faults import Fault
 from puffinford.stage.links import Link
-from puffinford.state.recovery import ListGuard
+from puffinford.state.recovery import ListValidator
 
 pytestmark = pytest.mark.anyio
 MAX_DELAY_MS = 6_000.0
@@ -74,7 +74,7 @@
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
         self.clock = SettableClock()
         self.tasks = tasks
-        self.guard = ListGuard()
+        self.guard = ListValidator()
         self.state: ServerState | None = None
         self.versions: list[int] = []
         self.services: list[RelayService] = []
@@ -119,7 +119,7 @@
     def _apply(self, answer: ServerEntries | None) -> int | None:
         if answer is None:
             return self.guard.version
-        verdict = self.guard.judge(answer)
+        verdict = self.guard.validate(answer)
         if verdict.entries is not None:
             self.versions.append(verdict.entries.version)
             for entry in verdict.entries.entries:
