--- a/benchmarks/rebalance/story.py
+++ b/benchmarks/rebalance/story.py
@@ -9,7 +9,7 @@
 import anyio
 
 from puffinford.stage.play import Play
-from puffinford.stage.report import rules
+from puffinford.stage.report import rule_violations
 from puffinford.stage.script import Event, Script
 from puffinford.standins import checks
 from puffinford.standins.clients import ClientClass
@@ -125,7 +125,7 @@
     made.moves = len([entry for entry in trace.of(EventKind.MOVED) if entry.at >= restart])
     made.cut = len([entry for entry in trace.of(EventKind.CUT_OFF) if entry.at >= restart])
     made.cold = checks.cold_servers_not_flooded(trace, dict.fromkeys(RESTARTED, OPENINGS), COLD_FROM, WARM_MS)
-    made.broken = rules(trace, trace.elapsed - 3_000.0)
+    made.broken = rule_violations(trace, trace.elapsed - 3_000.0)
     before = sorted(e.ms for e in trace.of(EventKind.ANSWERED) if e.at < crash)
     during = sorted(e.ms for e in trace.of(EventKind.ANSWERED) if e.at >= restart)
     if before and during:
--- a/benchmarks/spread/__main__.py
+++ b/benchmarks/spread/__main__.py
@@ -45,9 +45,9 @@
         played = Play(script, Path(directory), root)
         trace = anyio.run(played.run)
     report = Report(trace, script)
-    figures = {key: report.figures()[key] for key in SHOWN}
-    figures["late_ms"] = max(played.relays.lateness, played.lateness)
-    return figures, report.broken
+    figures = {key: report.metrics()[key] for key in SHOWN}
+    figures["late_ms"] = max(played.relays.max_lateness_ms, played.max_lateness_ms)
+    return figures, report.violations
 
 
 @click.command()
--- a/benchmarks/spread/model.py
+++ b/benchmarks/spread/model.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from puffinford.stage.spread import Evenness, Second, evenness
+from puffinford.stage.spread import Evenness, LoadSample, evenness
 from puffinford.standins.fleet import Fleet
 
 STEP = 1_000.0  # ms between looks
@@ -33,7 +33,7 @@
     rng = random.Random(seed ^ 0x5B)
     weights = [(crowd.busy or {}).get(me, 1.0) for me in range(crowd.balancers)]
     ends: list[tuple[float, str]] = []
-    seen: list[Second] = []
+    seen: list[LoadSample] = []
     began, due, look = fleet.now, fleet.now, fleet.now + WARM
     while due < began + seconds * 1_000.0:
         due += rng.expovariate(crowd.standing / crowd.life)
@@ -45,7 +45,7 @@
                 continue
             fleet.advance(look)
             held = fleet.held()
-            seen.append(Second(look - began, tuple(held[server.id] for server in fleet.servers)))
+            seen.append(LoadSample(look - began, tuple(held[server.id] for server in fleet.servers)))
             look += STEP
         fleet.advance(due)
         group = rng.randrange(crowd.groups) * 0x9E3779B97F4A7C15 if crowd.groups else None
@@ -64,9 +64,9 @@
         if even is not None:
             found.append(even)
     return {
-        "fullest": statistics.mean(even.fullest for even in found),
-        "emptiest": statistics.mean(even.emptiest for even in found),
-        "worst": max(even.worst for even in found),
-        "chance": statistics.mean(even.chance for even in found),
+        "fullest": statistics.mean(even.highest_ratio for even in found),
+        "emptiest": statistics.mean(even.lowest_ratio for even in found),
+        "worst": max(even.worst_window_ratio for even in found),
+        "chance": statistics.mean(even.random_highest_ratio for even in found),
         "us": statistics.mean(us),
     }
--- a/benchmarks/start/story.py
+++ b/benchmarks/start/story.py
@@ -12,7 +12,7 @@
 
 from puffinford.core.state_path import state_path
 from puffinford.stage.play import Play
-from puffinford.stage.report import rules
+from puffinford.stage.report import rule_violations
 from puffinford.stage.script import Script
 from puffinford.standins.balancer import BalancerProcess
 from puffinford.standins.clients import ClientClass
@@ -82,7 +82,7 @@
         if entry.server in SILENT:
             dead.setdefault(entry.job, set()).add(entry.server)
     made.dead_paid_twice = sum(len(servers) > 1 for servers in dead.values())
-    made.broken = rules(trace, until)
+    made.broken = rule_violations(trace, until)
     answered = {entry.job for entry in trace.of(*ANSWERS)}
     made.broken += [f"{job}: no answer" for job in asked - answered]
     return made
--- a/puffinford/cli/stage.py
+++ b/puffinford/cli/stage.py
@@ -63,10 +63,10 @@
     The exit code is 1 where a rule was broken, and 2 where the story could not be played.
     """
     try:
-        from puffinford.stage.play import Failed, Play
+        from puffinford.stage.play import Play, PlayFailed
         from puffinford.stage.report import Report
-        from puffinford.stage.script import BadScript, read_script
-        from puffinford.stage.watching import watched
+        from puffinford.stage.script import InvalidScript, read_script
+        from puffinford.stage.watching import run_with_progress
     except ImportError as exc:
         return fail(f"{exc}; the stage needs the packages of requirements-stage.txt")
     path = Path(story)
@@ -77,28 +77,28 @@
         script = read_script(path, **{name: value for name, value in given.items() if value is not None})
         if logs is not None:
             logs.mkdir(parents=True, exist_ok=True)
-    except (BadScript, OSError) as exc:
-        return fail(f"{path}: {exc}" if isinstance(exc, BadScript) else str(exc))
+    except (InvalidScript, OSError) as exc:
+        return fail(f"{path}: {exc}" if isinstance(exc, InvalidScript) else str(exc))
     began = time.monotonic()
     with tempfile.TemporaryDirectory() if logs is None else nullcontext(str(logs)) as directory:
         played = Play(script, Path(directory))
         try:
-            trace = anyio.run(watched, played, not as_json)
-        except Failed as exc:
+            trace = anyio.run(run_with_progress, played, not as_json)
+        except PlayFailed as exc:
             return fail(f"{path}: {exc}")
     report = Report(trace, script)
     if picture is not None:
-        report.picture(picture)
+        report.write_chart(picture)
     if as_json:
-        told = {**report.figures(), "seconds": round(time.monotonic() - began, 1), "rules": report.broken}
+        told = {**report.metrics(), "seconds": round(time.monotonic() - began, 1), "rules": report.violations}
         click.echo(json.dumps(told, indent=1))
     else:
         click.echo(report.text())
         links = played.relays
-        seen = f"{len(links.ports)} links, passed on {links.lateness:.0f} ms late at most"
-        seen += f"; the play itself {played.lateness:.0f} ms"
+        seen = f"{len(links.ports)} links, passed on {links.max_lateness_ms:.0f} ms late at most"
+        seen += f"; the play itself {played.max_lateness_ms:.0f} ms"
         click.echo(f"\n{script.balancers} balancers, {seen}")
-    if report.broken:
+    if report.violations:
         raise SystemExit(1)
 
 
@@ -114,26 +114,26 @@
 
     The exit code is 1 where one was broken or a story could not be played.
     """
-    from puffinford.stage.play import Failed, Play
-    from puffinford.stage.soak import breaches, draw
+    from puffinford.stage.play import Play, PlayFailed
+    from puffinford.stage.soak import find_violations, generate_script
 
     broken = 0
     for seed in range(first, first + seeds):
-        script = draw(seed, balancers)
+        script = generate_script(seed, balancers)
         with tempfile.TemporaryDirectory() if logs is None else nullcontext(str(logs)) as directory:
             place = Path(directory, f"seed-{seed}")
             place.mkdir(parents=True, exist_ok=True)
             played = Play(script, place)
             try:
                 trace = anyio.run(played.run)
-            except Failed as exc:
+            except PlayFailed as exc:
                 found, asked = [f"not played: {exc}"], 0
             else:
-                found = breaches(trace, script, played.lateness)
+                found = find_violations(trace, script, played.max_lateness_ms)
                 asked = sum(trace.count(EventKind.REQUESTED).values())
         broken += bool(found)
         head = f"seed {seed}: {script.balancers} balancers, {len(script.servers)} servers, {asked} asked"
-        head += f", {played.lateness:.0f} ms late"
+        head += f", {played.max_lateness_ms:.0f} ms late"
         click.echo("\n  ".join([f"{head}: {'kept' if not found else f'{len(found)} broken'}", *found[:8]]))
     click.echo(f"soak seeds={seeds} first={first} broken={broken}")
     if broken:
--- a/puffinford/stage/crowds.py
+++ b/puffinford/stage/crowds.py
@@ -44,13 +44,13 @@
         self._tasks = tasks
         self._scopes: dict[str, anyio.CancelScope] = {}
 
-    def come(self, name: str, port: int, number: int) -> None:
+    def start(self, name: str, port: int, number: int) -> None:
         """So many come to a balancer at once, and stay until they are ended or told to go."""
-        self.go(name)
+        self.stop(name)
         scope = self._scopes[name] = anyio.CancelScope()
         self._tasks.start_soon(self._crowd, scope, port, number)
 
-    def go(self, name: str) -> None:
+    def stop(self, name: str) -> None:
         """Those at a balancer leave, if there are any."""
         scope = self._scopes.pop(name, None)
         if scope is not None:
--- a/puffinford/stage/demo.py
+++ b/puffinford/stage/demo.py
@@ -9,8 +9,8 @@
 import anyio
 
 from puffinford.stage.play import Play
-from puffinford.stage.report import by_class, rules
-from puffinford.stage.script import BadScript, read_script
+from puffinford.stage.report import class_table, rule_violations
+from puffinford.stage.script import InvalidScript, read_script
 
 SCRIPT = Path(__file__).with_name("demo.yaml")
 
@@ -19,7 +19,7 @@
     """Play the script named, or the demo's; the exit code is 1 where a rule was broken."""
     try:
         script = read_script(Path(words[0]) if words else SCRIPT)
-    except (BadScript, OSError) as exc:
+    except (InvalidScript, OSError) as exc:
         print(f"demo: {exc}", file=sys.stderr)
         return 2
     for event in script.events:
@@ -28,8 +28,8 @@
     with tempfile.TemporaryDirectory() as directory:
         trace = anyio.run(Play(script, Path(directory)).run)
     print()
-    print(by_class(trace, script.kinds))
-    broken = rules(trace, trace.elapsed - 3_000.0)
+    print(class_table(trace, script.kinds))
+    broken = rule_violations(trace, trace.elapsed - 3_000.0)
     print()
     print(
         "\n".join(["rules broken:", *broken])
--- a/puffinford/stage/faults.py
+++ b/puffinford/stage/faults.py
@@ -33,7 +33,7 @@
 PROCESS_FAULTS = ("kill", "terminate", "reload", "restart", "roll", "end", "freeze", "stall")
 
 
-class BadFault(ValueError):
+class InvalidFault(ValueError):
     """A fault that cannot be played; the text names the value."""
 
 
@@ -61,12 +61,12 @@
         except (IndexError, ValueError):
             figure = math.nan
         if not 0.0 < figure <= FIGURE_MOST:
-            raise BadFault(f"{text!r}: {kind} needs {FIGURES[kind]}, over 0 and up to {FIGURE_MOST:.0f}")
+            raise InvalidFault(f"{text!r}: {kind} needs {FIGURES[kind]}, over 0 and up to {FIGURE_MOST:.0f}")
     elif kind not in PLAIN:
-        raise BadFault(f"{text!r} is none of {' '.join((*PLAIN, *FIGURES))}")
+        raise InvalidFault(f"{text!r} is none of {' '.join((*PLAIN, *FIGURES))}")
     way = words.pop(0) if words and kind not in ("sound", "fin", "rst") else ""
     if words or way not in ("", *WAYS):
-        raise BadFault(f"{text!r}: {' '.join([way, *words]).strip()!r} is no way ({' or '.join(WAYS)})")
+        raise InvalidFault(f"{text!r}: {' '.join([way, *words]).strip()!r} is no way ({' or '.join(WAYS)})")
     return Fault(kind, figure, way)
 
 
@@ -78,23 +78,23 @@
     if len(words) == 2 and words[0] in COUNTED and words[1].isdecimal() and 0 < int(words[1]) <= COUNT_MOST:
         return words[0], int(words[1])
     counted = " or ".join(f"`{name}`" for name in COUNTED)
-    raise BadFault(f"{text!r} is none of {' '.join(PROCESS_FAULTS)} nor {counted} with 1 to {COUNT_MOST}")
+    raise InvalidFault(f"{text!r} is none of {' '.join(PROCESS_FAULTS)} nor {counted} with 1 to {COUNT_MOST}")
 
 
-def struck(pattern: object, names: Mapping[str, str], part: float, rng: random.Random) -> list[str]:
+def select_parties(pattern: object, names: Mapping[str, str], part: float, rng: random.Random) -> list[str]:
     """The parties that a pattern names, in order; of those a part, drawn, but one at least.
 
     `names` are the parties with their zones. A pattern is one name, a glob of names (`n*`), `zone:NAME`, or
     several of these with commas between them. Raises BadFault where it names nobody.
     """
     if not 0.0 < part <= 1.0:
-        raise BadFault(f"part {part!r} is not over 0 and up to 1")
+        raise InvalidFault(f"part {part!r} is not over 0 and up to 1")
     found: set[str] = set()
     for piece in (piece.strip() for piece in str(pattern).split(",")):
         zone = piece.removeprefix("zone:") if piece.startswith("zone:") else None
         named = [name for name, at in names.items() if (at == zone if zone else fnmatchcase(name, piece))]
         if not named:
-            raise BadFault(f"{piece!r} names none of {_some(names)}")
+            raise InvalidFault(f"{piece!r} names none of {_some(names)}")
         found.update(named)
     ordered = [name for name in names if name in found]
     number = max(1, round(part * len(ordered)))
--- a/puffinford/stage/links.py
+++ b/puffinford/stage/links.py
@@ -22,7 +22,7 @@
 
 
 class Link:
-    """One link. `become` changes what it does, for the lines that stand too."""
+    """One link. `set_fault` changes what it does, for the lines that stand too."""
 
     def __init__(
         self,
@@ -34,9 +34,9 @@
         """`target` is the host and port it leads to."""
         self.name = name
         self.fault = Fault()
-        self.lines = 0  # that were taken
-        self.passed = 0  # bytes
-        self.lateness = 0.0  # ms: the most that a piece was passed on after it was due
+        self.accepted_connections = 0  # that were taken
+        self.forwarded_bytes = 0  # bytes
+        self.max_lateness_ms = 0.0  # ms: the most that a piece was passed on after it was due
         self._target = target
         self._clock = clock
         self._changed = anyio.Event()
@@ -44,11 +44,11 @@
         self._port.open()
 
     @property
-    def number(self) -> int:
+    def port(self) -> int:
         """The port to connect to, on HOST."""
         return self._port.number
 
-    async def become(self, fault: Fault) -> None:
+    async def set_fault(self, fault: Fault) -> None:
         """Change what it does."""
         self.fault = fault
         self._changed.set()
@@ -61,7 +61,7 @@
                     await stream.aclose()
 
     async def _play(self, near: SocketStream) -> None:
-        self.lines += 1
+        self.accepted_connections += 1
         if self.fault.kind in ("fin", "rst"):
             if self.fault.kind == "rst":
                 await reset(near)
@@ -122,8 +122,8 @@
                     if data:
                         await sink.send(data)
                         passed += len(data)
-                        self.passed += len(data)
-                        self.lateness = max(self.lateness, self._clock.now() - due)
+                        self.forwarded_bytes += len(data)
+                        self.max_lateness_ms = max(self.max_lateness_ms, self._clock.now() - due)
                     elif data is not None and not cut:
                         await sink.send_eof()
                 except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
--- a/puffinford/stage/play.py
+++ b/puffinford/stage/play.py
@@ -22,7 +22,7 @@
 from puffinford.core.clock import Clock
 from puffinford.stage.crowds import Crowds, hold_connections
 from puffinford.stage.faults import read_process_fault
-from puffinford.stage.relays import Relays, relays
+from puffinford.stage.relays import LinkRelays, start_relays
 from puffinford.stage.script import CLIENTS, DISCOVERY, Event, Script
 from puffinford.standins.balancer import BalancerProcess, platform_settings
 from puffinford.standins.clients import Clients
@@ -44,7 +44,7 @@
 END_WITHIN = 20.0  # seconds in which a balancer that is told to end has to
 
 
-class Failed(Exception):
+class PlayFailed(Exception):
     """The play could not go on; the text says which party failed."""
 
 
@@ -68,18 +68,18 @@
         self.root = root
         self.servers: dict[str, LineServer] = {}
         self.balancers: list[BalancerProcess] = []
-        self.relays: Relays
+        self.relays: LinkRelays
         self.discovery: Discovery
         self.clients: Clients
         self._seen: dict[str, float] = {}  # when the front last saw a balancer sound
-        self.lateness = 0.0  # ms: the most that the playing process itself came late to its turn
+        self.max_lateness_ms = 0.0  # ms: the most that the playing process itself came late to its turn
         self._ended: set[str] = set()  # balancers that were told to end, and not started since
         self._crowds: Crowds
 
     async def run(
         self,
         *,
-        listed: Mapping[str, str] | None = None,
+        initial_states: Mapping[str, str] | None = None,
         prepare: Callable[[Play], None] | None = None,
         discovery: str = "sound",
     ) -> Trace:
@@ -89,19 +89,19 @@
         with a party missing shows nothing.
         """
         try:
-            return await self._run(listed, prepare, discovery)
+            return await self._run(initial_states, prepare, discovery)
         except BaseExceptionGroup as group:
             parts = [exc for exc in _leaves(group) if not isinstance(exc, anyio.get_cancelled_exc_class())]
             if not all(isinstance(exc, Exception) for exc in parts):
                 raise
-            raise Failed("; ".join(sorted({f"{exc}" or type(exc).__name__ for exc in parts}))) from group
+            raise PlayFailed("; ".join(sorted({f"{exc}" or type(exc).__name__ for exc in parts}))) from group
 
     async def _run(
-        self, listed: Mapping[str, str] | None, prepare: Callable[[Play], None] | None, discovery: str
+        self, initial_states: Mapping[str, str] | None, prepare: Callable[[Play], None] | None, discovery: str
     ) -> Trace:
         script = self.script
-        number = -(-script.balancers // BALANCERS_EACH) if script.linked else 0
-        async with relays(number) as self.relays, anyio.create_task_group() as tasks:
+        number = -(-script.balancers // BALANCERS_EACH) if script.has_links else 0
+        async with start_relays(number) as self.relays, anyio.create_task_group() as tasks:
             self._tasks = tasks
             self._crowds = Crowds(tasks)
             self.discovery = Discovery(self.clock, self.trace, tasks, script.lag)
@@ -111,15 +111,15 @@
                 )
                 self.servers[ident] = server
                 server.start()
-                state = (listed or {}).get(ident, "active")
+                state = (initial_states or {}).get(ident, "active")
                 self.discovery.registry.put(
                     ident, addr=server.address, zone=make.zone, kind=make.kind, state=state
                 )
             self.discovery.become(discovery)
             for number in range(1, script.balancers + 1):
                 ports = {f"n{number}>{ident}": port_of(one.address) for ident, one in self.servers.items()}
-                if script.linked:
-                    await self.relays.make(number, ports)
+                if script.has_links:
+                    await self.relays.add_links(number, ports)
                 told = platform_settings(script.kinds, script.balancers, number - 1)
                 told["domain"]["groups"] = script.grouped
                 if script.quota:
@@ -131,7 +131,7 @@
                     BalancerProcess(
                         f"n{number}",
                         self.directory,
-                        await self._discovery_of(number, self.relays.ports if script.linked else ports),
+                        await self._discovery_of(number, self.relays.ports if script.has_links else ports),
                         told,
                         script.known,
                         script.operators,
@@ -142,8 +142,8 @@
                         sockets=script.sockets,
                     )
                 )
-                if script.linked:
-                    await self.relays.make(number, {f"{CLIENTS}>n{number}": self.balancers[-1].port})
+                if script.has_links:
+                    await self.relays.add_links(number, {f"{CLIENTS}>n{number}": self.balancers[-1].port})
             if prepare is not None:
                 prepare(self)
             try:
@@ -161,10 +161,10 @@
         """Where a balancer asks for its own list, in which servers are at these ports by link."""
         by = f"n{number}"
         view = self.discovery.view(by, lambda ident: f"{HOST}:{ports[f'{by}>{ident}']}")
-        if not self.script.linked:
+        if not self.script.has_links:
             return view
         name = f"{by}>{DISCOVERY}"
-        await self.relays.make(number, {name: port_of(view)})
+        await self.relays.add_links(number, {name: port_of(view)})
         return f"{HOST}:{ports[name]}"
 
     async def _play(self, tasks: anyio.abc.TaskGroup) -> None:
@@ -202,15 +202,15 @@
             await self.clock.sleep(GUARD_EVERY)
             for balancer in self.balancers:
                 if not balancer.running and balancer.name not in self._ended:
-                    raise Failed(f"{balancer.name} ended by itself; see {balancer.log}")
-            await self.relays.look()
+                    raise PlayFailed(f"{balancer.name} ended by itself; see {balancer.log}")
+            await self.relays.poll_lateness()
 
     async def _watch_lateness(self) -> None:
         """Notice how late the stand-ins' own loop is at most: what they saw may be later by as much."""
         while True:
             due = self.clock.now() + LOOK_EVERY
             await self.clock.sleep(LOOK_EVERY)
-            self.lateness = max(self.lateness, self.clock.now() - due)
+            self.max_lateness_ms = max(self.max_lateness_ms, self.clock.now() - due)
 
     def _front(self) -> tuple[str, int] | None:
         """Where the next client comes: any balancer that the front has not yet noticed to be dead."""
@@ -250,7 +250,7 @@
 
     async def _strike(self, whom: str, names: tuple[str, ...], do: str) -> None:
         if whom == "links":
-            await self.relays.become(names, do)
+            await self.relays.set_fault(names, do)
         for name in names:
             if whom == "server":
                 await self._server(self.servers[name], do)
@@ -301,7 +301,7 @@
                 _, most = resource.prlimit(balancer.pid, resource.RLIMIT_NOFILE)
                 resource.prlimit(balancer.pid, resource.RLIMIT_NOFILE, (figure, most))
             case "crowd":
-                self._crowds.come(balancer.name, balancer.port, figure)
+                self._crowds.start(balancer.name, balancer.port, figure)
             case "end":
                 await self._end(balancer)
             case "restart" | "roll" | "stall":
@@ -341,7 +341,7 @@
 
     async def _wake(self, balancer: BalancerProcess) -> None:
         """Its fault is over, whatever it was."""
-        self._crowds.go(balancer.name)
+        self._crowds.stop(balancer.name)
         balancer.signal(signal.SIGCONT)
         if not balancer.running:  # it was killed and not started since
             self._start(balancer)
--- a/puffinford/stage/relays.py
+++ b/puffinford/stage/relays.py
@@ -58,16 +58,18 @@
         return dict(answer)
 
 
-class Relays:
-    """Some relay processes with their links. Made by `relays`."""
+class LinkRelays:
+    """Some relay processes with their links. Made by `start_relays`."""
 
     def __init__(self, parts: Sequence[_Relay]) -> None:
         self._parts = parts
         self._holder: dict[str, _Relay] = {}
         self.ports: dict[str, int] = {}  # to connect to, on HOST, by the link's name
-        self.lateness = 0.0  # ms: the most that a piece was passed on after it was due, as far as it was told
+        self.max_lateness_ms = (
+            0.0  # ms: the most that a piece was passed on after it was due, as far as it was told
+        )
 
-    async def make(self, number: int, links: Mapping[str, int]) -> None:
+    async def add_links(self, number: int, links: Mapping[str, int]) -> None:
         """Make links, by name with the ports that they lead to, in the relay process of this number."""
         relay = self._parts[number % len(self._parts)]
         answer = await relay.ask({"make": list(links.items())})
@@ -75,22 +77,22 @@
             self.ports[name] = port
             self._holder[name] = relay
 
-    async def become(self, names: Sequence[str], do: str) -> None:
+    async def set_fault(self, names: Sequence[str], do: str) -> None:
         """Change what these links do; each relay is told once."""
         for relay in self._parts:
             mine = [name for name in names if self._holder[name] is relay]
             if mine:
                 await relay.ask({"become": mine, "do": do})
 
-    async def look(self) -> None:
+    async def poll_lateness(self) -> None:
         """Ask all of them how late they were; raises RelayEnded where one is gone."""
         for relay in self._parts:
             told = await relay.ask({"tell": True})
-            self.lateness = max(self.lateness, told["lateness"])
+            self.max_lateness_ms = max(self.max_lateness_ms, told["lateness"])
 
 
 @asynccontextmanager
-async def relays(count: int) -> AsyncIterator[Relays]:
+async def start_relays(count: int) -> AsyncIterator[LinkRelays]:
     """So many relay processes, ended with the block."""
     async with contextlib.AsyncExitStack() as stack:
         processes, parts = [], []
@@ -101,7 +103,7 @@
             processes.append(process)
             stack.push_async_callback(_end, process)
             parts.append(_Relay(number + 1, process))
-        yield Relays(parts)
+        yield LinkRelays(parts)
 
 
 async def _end(process: anyio.abc.Process) -> None:
@@ -129,17 +131,17 @@
                 made = []
                 for name, port in told["make"]:
                     links[name] = Link(name, (HOST, port), clock, tasks)
-                    made.append(links[name].number)
+                    made.append(links[name].port)
                 return {"ports": made}
             if "become" in told:
                 fault = read_fault(told["do"])
                 for name in told["become"]:
-                    await links[name].become(fault)
+                    await links[name].set_fault(fault)
                 return {}
             return {
-                "lateness": max((link.lateness for link in links.values()), default=0.0),
-                "lines": sum(link.lines for link in links.values()),
-                "passed": sum(link.passed for link in links.values()),
+                "lateness": max((link.max_lateness_ms for link in links.values()), default=0.0),
+                "lines": sum(link.accepted_connections for link in links.values()),
+                "passed": sum(link.forwarded_bytes for link in links.values()),
             }
 
         while line := await anyio.to_thread.run_sync(sys.stdin.readline, abandon_on_cancel=True):
--- a/puffinford/stage/report.py
+++ b/puffinford/stage/report.py
@@ -8,7 +8,14 @@
 from pathlib import Path
 
 from puffinford.stage.script import Script
-from puffinford.stage.spread import Evenness, Second, evenness, idle, loads, refused_with_room
+from puffinford.stage.spread import (
+    Evenness,
+    LoadSample,
+    evenness,
+    idle_servers,
+    refusals_with_free_capacity,
+    sample_loads,
+)
 from puffinford.standins import checks
 from puffinford.standins.clients import ClientClass
 from puffinford.standins.servers import SERVING_STATES
@@ -20,7 +27,7 @@
 FAULTS_NAMED = 6  # parties of one fault that a line names
 
 
-def rules(trace: Trace, until: float = float("inf")) -> list[str]:
+def rule_violations(trace: Trace, until: float = float("inf")) -> list[str]:
     """Every breach of the rules that a trace shows. Openings after `until` ms may have no answer yet."""
     return [
         *checks.one_final_answer(trace, until),
@@ -29,7 +36,7 @@
     ]
 
 
-def latencies(entries: Iterable[TraceEvent]) -> list[float]:
+def latency_percentiles(entries: Iterable[TraceEvent]) -> list[float]:
     """The PERCENTILES of how long these took, in ms; empty where there are none."""
     from hdrh.histogram import HdrHistogram
 
@@ -42,7 +49,7 @@
 
 
 @dataclass(frozen=True)
-class Span:
+class FaultSpan:
     """A fault: what was done to whom, from when until when (ms of the trace)."""
 
     do: str
@@ -56,7 +63,7 @@
         return f"{self.do}: {named}" + (f" and {more} others" if more > 0 else "")
 
 
-def spans(trace: Trace) -> list[Span]:
+def fault_spans(trace: Trace) -> list[FaultSpan]:
     """The faults of a play, those that began and ended alike as one."""
     began: dict[str, tuple[str, float]] = {}
     found: dict[tuple[str, int, int], list[str]] = {}
@@ -73,11 +80,13 @@
             began[name] = (entry.detail, entry.at)
     for name in list(began):
         end(name, max(trace.serving_ended_at, began[name][1]))
-    made = [Span(do, tuple(names), since * 100.0, at * 100.0) for (do, since, at), names in found.items()]
+    made = [
+        FaultSpan(do, tuple(names), since * 100.0, at * 100.0) for (do, since, at), names in found.items()
+    ]
     return sorted(made, key=lambda span: span.began)
 
 
-def by_class(trace: Trace, kinds: Sequence[ClientClass]) -> str:
+def class_table(trace: Trace, kinds: Sequence[ClientClass]) -> str:
     """What became of the openings of each class, and how long an UP took, as a table."""
     rows = []
     for kind in kinds:
@@ -86,19 +95,19 @@
             trace.count(what)[kind.name]
             for what in (EventKind.REQUESTED, EventKind.BUSY, EventKind.FAILED, EventKind.LOST)
         ]
-        took = [f"{ms:.1f}" for ms in latencies(ups)] or ["-"] * len(PERCENTILES)
+        took = [f"{ms:.1f}" for ms in latency_percentiles(ups)] or ["-"] * len(PERCENTILES)
         rows.append((kind.name, counts[0], len(ups), *counts[1:], *took))
     heads = [f"p{percent:g} ms" for percent in PERCENTILES]
     return format_table(("class", "asked", "up", "busy", "failed", "lost", *heads), rows)
 
 
-def by_server(trace: Trace, servers: Sequence[str], seconds: Sequence[Second]) -> str:
+def server_table(trace: Trace, servers: Sequence[str], seconds: Sequence[LoadSample]) -> str:
     """Claims and clients of each server, and how many stood there on average and at most, as a table."""
     ups = trace.count(EventKind.UP, lambda entry: entry.server)
     claims = trace.count(EventKind.ATTEMPT, lambda entry: entry.server)
     rows = []
     for number, ident in enumerate(servers):
-        held = [row.held[number] for row in seconds] or [0]
+        held = [row.connections[number] for row in seconds] or [0]
         rows.append((ident, claims[ident], ups[ident], f"{sum(held) / len(held):.1f}", max(held)))
     return format_table(("server", "claims", "up", "standing", "at most"), rows)
 
@@ -113,9 +122,11 @@
         self._warm = warm
         self.servers = list(script.servers)
         self.weights = [float(make.capacity) for make in script.servers.values()]
-        self.seconds = loads(trace, self.servers, trace.serving_started_at + warm, trace.serving_ended_at)
-        self.faults = spans(trace)
-        self.broken = rules(
+        self.seconds = sample_loads(
+            trace, self.servers, trace.serving_started_at + warm, trace.serving_ended_at
+        )
+        self.faults = fault_spans(trace)
+        self.violations = rule_violations(
             trace, trace.serving_ended_at - max(kind.give_up for kind in script.kinds) - 500.0
         )
 
@@ -124,28 +135,31 @@
         """Of the servers that no event of the script strikes, in all seconds that are judged."""
         struck = {name for event in self.script.events if event.whom == "server" for name in event.names}
         kept = [number for number, ident in enumerate(self.servers) if ident not in struck]
-        rows = [Second(row.at, tuple(row.held[number] for number in kept)) for row in self.seconds]
+        rows = [LoadSample(row.at, tuple(row.connections[number] for number in kept)) for row in self.seconds]
         return evenness(rows, [self.weights[number] for number in kept]) if kept else None
 
-    def refused(self) -> tuple[int, int]:
+    def count_refusals(self) -> tuple[int, int]:
         """Jobs turned away, and those while the fleet had room; judged once balancers have had a list."""
         since, until = self.trace.serving_started_at + self._warm, self.trace.serving_ended_at
         turned = sum(since <= entry.at < until for entry in self.trace.of(EventKind.BUSY, EventKind.FAILED))
         capacity = {ident: float(make.capacity) for ident, make in self.script.servers.items()}
-        return turned, refused_with_room(self.trace, capacity, since, until)
+        return turned, refusals_with_free_capacity(self.trace, capacity, since, until)
 
-    def idle(self) -> list[str]:
+    def idle_servers(self) -> list[str]:
         """Servers that stood empty while others were loaded, though nothing was wrong with them."""
         usable: dict[str, float] = dict.fromkeys(self.servers, self.trace.serving_started_at)
         for entry in self.trace.of(EventKind.STATE, EventKind.LISTED):
             sound = (*SERVING_STATES, "active") if entry.what is EventKind.STATE else ("active",)
             if entry.detail not in sound:
                 usable.pop(entry.server, None)
-        return idle(self.seconds, self.servers, usable)
+        return idle_servers(self.seconds, self.servers, usable)
 
     def text(self) -> str:
         """All of it, for a terminal."""
-        parts = [by_class(self.trace, self.script.kinds), by_server(self.trace, self.servers, self.seconds)]
+        parts = [
+            class_table(self.trace, self.script.kinds),
+            server_table(self.trace, self.servers, self.seconds),
+        ]
         if self.faults:
             rows = [
                 (
@@ -160,35 +174,37 @@
         lines = []
         if even is not None:
             lines.append(
-                f"fullest {even.fullest:.2f}, emptiest {even.emptiest:.2f} times its part, by chance"
-                f" {even.chance:.2f}; worst 5 s of any {even.worst:.2f}; {even.mean:.1f} connections a server"
+                f"fullest {even.highest_ratio:.2f}, emptiest {even.lowest_ratio:.2f} times its part,"
+                f" by chance {even.random_highest_ratio:.2f}; worst 5 s of any {even.worst_window_ratio:.2f};"
+                f" {even.mean_connections:.1f} connections a server"
             )
-        turned, with_room = self.refused()
+        turned, with_room = self.count_refusals()
         asked = max(1, len(list(self.trace.of(EventKind.REQUESTED))))
         claims = len(list(self.trace.of(EventKind.ATTEMPT)))
         lines.append(
             f"refused {turned} of {asked}, {with_room} while there was room"
             f" ({100.0 * with_room / asked:.1f}%); {claims / asked:.2f} claims an opening"
         )
-        if standing := self.idle():
+        if standing := self.idle_servers():
             lines.append(f"idle: {' '.join(standing)}")
         parts.append("\n".join(lines))
-        parts.append("\n".join(["rules broken:", *self.broken[:20]]) if self.broken else "rules kept")
+        parts.append("\n".join(["rules broken:", *self.violations[:20]]) if self.violations else "rules kept")
         return "\n\n".join(parts)
 
-    def figures(self) -> Mapping[str, float]:
+    def metrics(self) -> Mapping[str, float]:
         """The figures of a measurement's last line; loads are over each server's part."""
         even = self.evenness or Evenness(0.0, 0.0, 0.0, 0.0, 0.0)
         asked = max(1, len(list(self.trace.of(EventKind.REQUESTED))))
-        turned, with_room = self.refused()
+        turned, with_room = self.count_refusals()
         return {
-            "fullest": even.fullest, "emptiest": even.emptiest, "worst": even.worst, "chance": even.chance,
+            "fullest": even.highest_ratio, "emptiest": even.lowest_ratio,
+            "worst": even.worst_window_ratio, "chance": even.random_highest_ratio,
             "refused": 100.0 * turned / asked, "with_room": 100.0 * with_room / asked,
             "claims": len(list(self.trace.of(EventKind.ATTEMPT))) / asked,
-            "idle": float(len(self.idle())), "broken": float(len(self.broken)),
+            "idle": float(len(self.idle_servers())), "broken": float(len(self.violations)),
         }  # fmt: skip
 
-    def picture(self, path: Path) -> None:
+    def write_chart(self, path: Path) -> None:
         """Write load by server, refusals and latencies over time, with the faults marked, as PNG or SVG."""
         import matplotlib
 
@@ -199,13 +215,13 @@
             return (ms - self.trace.serving_started_at) / 1_000.0
 
         figure, (load, answers, took) = pyplot.subplots(3, 1, figsize=(11, 10), sharex=True)
-        all_seconds = loads(
+        all_seconds = sample_loads(
             self.trace, self.servers, self.trace.serving_started_at, self.trace.serving_ended_at, 250.0
         )
         times = [clock(row.at) for row in all_seconds]
         for number, ident in enumerate(self.servers):
             part = self.weights[number] / sum(self.weights)
-            over = [row.held[number] / max(1.0, sum(row.held) * part) for row in all_seconds]
+            over = [row.connections[number] / max(1.0, sum(row.connections) * part) for row in all_seconds]
             load.plot(times, over, linewidth=1.0, label=ident if len(self.servers) <= 12 else None)
         load.axhline(1.0, color="black", linewidth=0.5)
         load.set_ylabel("standing, over its part")
--- a/puffinford/stage/script.py
+++ b/puffinford/stage/script.py
@@ -47,7 +47,7 @@
 
 import yaml
 
-from puffinford.stage.faults import BadFault, read_fault, read_process_fault, struck
+from puffinford.stage.faults import InvalidFault, read_fault, read_process_fault, select_parties
 from puffinford.standins.balancer import DEFAULT_SOCKETS
 from puffinford.standins.clients import ClientClass
 from puffinford.standins.discovery import MODES, parse_twist
@@ -63,7 +63,7 @@
 SERVER_DOES = (*STATES, "crash", "start", "start cold", "leaving", "left")
 
 
-class BadScript(Exception):
+class InvalidScript(Exception):
     """The script cannot be played; the text names the place."""
 
 
@@ -105,12 +105,12 @@
     busy: dict[str, float] = field(default_factory=dict)
 
     @property
-    def linked(self) -> bool:
+    def has_links(self) -> bool:
         """Whether links can fail in it: then every way goes through one."""
         return any(event.whom in ("links", "lists") for event in self.events)
 
     @property
-    def names(self) -> dict[str, str]:
+    def balancer_zones(self) -> dict[str, str]:
         """The balancers with their zones."""
         return {f"n{one}": self.zone(one - 1) for one in range(1, int(self.balancers) + 1)}
 
@@ -129,19 +129,19 @@
         try:
             told = yaml.safe_load(source.read_text(encoding="utf-8"))
         except (yaml.YAMLError, UnicodeDecodeError) as exc:
-            raise BadScript(f"{source}: {exc}") from None
+            raise InvalidScript(f"{source}: {exc}") from None
     if not isinstance(told, Mapping):
-        raise BadScript("not a mapping")
+        raise InvalidScript("not a mapping")
     told = {**told, **changes}
     unknown = {str(name) for name in told} - NAMES
     if unknown:
-        raise BadScript(f"unknown: {' '.join(sorted(unknown))}")
+        raise InvalidScript(f"unknown: {' '.join(sorted(unknown))}")
     made = Script()
     for name in FIGURES:
         setattr(made, name, _figure(name, told.get(name, getattr(made, name))))
     for name in WHOLE:
         if getattr(made, name) != int(getattr(made, name)):
-            raise BadScript(f"{name}: no whole number")
+            raise InvalidScript(f"{name}: no whole number")
         setattr(made, name, int(getattr(made, name)))
     made.zones = max(1, made.zones)
     made.grouped = bool(told.get("grouped", True))
@@ -158,7 +158,7 @@
         _read_busy(f"busy.{name}", str(name), value, made)
     events = told.get("events") or []
     if not isinstance(events, list):
-        raise BadScript("events: no list")
+        raise InvalidScript("events: no list")
     for number, entry in enumerate(events, 1):
         made.events.append(_event(f"events, entry {number}", entry, made, number))
     made.events.sort(key=lambda event: event.at)
@@ -167,7 +167,7 @@
 
 def _figure(where: str, value: object) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < math.inf:
-        raise BadScript(f"{where} {value!r} is no number of 0 or more")
+        raise InvalidScript(f"{where} {value!r} is no number of 0 or more")
     return value
 
 
@@ -175,7 +175,7 @@
     if value is None:
         return {}
     if not isinstance(value, Mapping):
-        raise BadScript(f"{where}: not a mapping")
+        raise InvalidScript(f"{where}: not a mapping")
     return value
 
 
@@ -183,14 +183,14 @@
     names = {entry.name: entry.default for entry in fields(kind)}
     entry = _mapping(where, told)
     if not set(entry) <= set(names):
-        raise BadScript(f"{where}: not a mapping of {' '.join(sorted(names))}")
+        raise InvalidScript(f"{where}: not a mapping of {' '.join(sorted(names))}")
     for name, value in entry.items():
         if isinstance(names[name], int | float):
             _figure(f"{where}.{name}", value)
     try:
         return kind(**{**entry, **more})
     except TypeError as exc:
-        raise BadScript(f"{where}: {exc}") from None
+        raise InvalidScript(f"{where}: {exc}") from None
 
 
 def _read_servers(told: Mapping[str, Any], script: Script) -> None:
@@ -206,30 +206,32 @@
 def _read_busy(where: str, pattern: str, told: Any, script: Script) -> None:
     entry = told if isinstance(told, Mapping) else {"times": told}
     if not {"times"} <= set(entry) <= {"times", "part"}:
-        raise BadScript(f"{where}: not a mapping of part times")
+        raise InvalidScript(f"{where}: not a mapping of part times")
     times = _figure(f"{where}: times", entry["times"])
     part = _figure(f"{where}: part", entry.get("part", 1.0))
     if not times:
-        raise BadScript(f"{where}: times is not over 0")
+        raise InvalidScript(f"{where}: times is not over 0")
     try:
-        for name in struck(pattern, script.names, part, random.Random(f"{script.seed}/{where}")):
+        for name in select_parties(
+            pattern, script.balancer_zones, part, random.Random(f"{script.seed}/{where}")
+        ):
             script.busy[name] = float(times)
-    except BadFault as exc:
-        raise BadScript(f"{where}: {exc}") from None
+    except InvalidFault as exc:
+        raise InvalidScript(f"{where}: {exc}") from None
 
 
 def _event(where: str, entry: Any, script: Script, number: int) -> Event:
     """An event; whom it strikes is drawn now, the same ones each time the script is played."""
     if not isinstance(entry, Mapping):
-        raise BadScript(f"{where}: not a mapping")
+        raise InvalidScript(f"{where}: not a mapping")
     whom = [name for name in WHOM if name in entry]
     if len(whom) != 1:
-        raise BadScript(f"{where}: needs one of {' '.join(WHOM)}")
+        raise InvalidScript(f"{where}: needs one of {' '.join(WHOM)}")
     unknown = {str(name) for name in entry} - EVENT_NAMES - {whom[0]}
     if unknown:
-        raise BadScript(f"{where}: unknown: {' '.join(sorted(unknown))}")
+        raise InvalidScript(f"{where}: unknown: {' '.join(sorted(unknown))}")
     if "at" not in entry:
-        raise BadScript(f"{where}: no `at` in seconds")
+        raise InvalidScript(f"{where}: no `at` in seconds")
     at, lasts, over = (_figure(f"{where}: {name}", entry.get(name, 0.0)) for name in ("at", "for", "over"))
     part = _figure(f"{where}: part", entry.get("part", 1.0))
     do, named = str(entry.get("do")), entry[whom[0]]
@@ -240,33 +242,35 @@
         match whom[0]:
             case "discovery":
                 if named not in MODES:
-                    raise BadFault(f"discovery {named!r} is none of {' '.join(MODES)}")
+                    raise InvalidFault(f"discovery {named!r} is none of {' '.join(MODES)}")
                 do = named
             case "server" | "servers":
                 if do not in SERVER_DOES:
-                    raise BadFault(f"a server cannot {do!r}")
+                    raise InvalidFault(f"a server cannot {do!r}")
                 servers = {ident: make.zone for ident, make in script.servers.items()}
-                names = struck(named, servers, part, rng)
+                names = select_parties(named, servers, part, rng)
             case "balancer" | "balancers":
                 read_process_fault(do)
-                names = struck(f"n{named}" if whom[0] == "balancer" else named, script.names, part, rng)
+                names = select_parties(
+                    f"n{named}" if whom[0] == "balancer" else named, script.balancer_zones, part, rng
+                )
             case "lists":
                 parse_twist(do)
-                names = struck(named, script.names, part, rng)
+                names = select_parties(named, script.balancer_zones, part, rng)
             case "links":
                 read_fault(do)
                 names = _links(named, script, part, rng)
     except ValueError as exc:
-        raise BadScript(f"{where}: {exc}") from None
+        raise InvalidScript(f"{where}: {exc}") from None
     return Event(at * 1_000.0, kind, do, tuple(names), lasts * 1_000.0, over * 1_000.0)
 
 
 def _links(pattern: object, script: Script, part: float, rng: random.Random) -> list[str]:
     near, sign, far = (piece.strip() for piece in str(pattern).partition(">"))
     if not sign:
-        raise BadFault(f"{pattern!r} is no A > B")
+        raise InvalidFault(f"{pattern!r} is no A > B")
     if near == CLIENTS:
-        return [f"{CLIENTS}>{one}" for one in struck(far, script.names, part, rng)]
+        return [f"{CLIENTS}>{one}" for one in select_parties(far, script.balancer_zones, part, rng)]
     servers = {ident: make.zone for ident, make in script.servers.items()}
-    ends = [DISCOVERY] if far == DISCOVERY else struck(far, servers, 1.0, rng)
-    return [f"{one}>{end}" for one in struck(near, script.names, part, rng) for end in ends]
+    ends = [DISCOVERY] if far == DISCOVERY else select_parties(far, servers, 1.0, rng)
+    return [f"{one}>{end}" for one in select_parties(near, script.balancer_zones, part, rng) for end in ends]
--- a/puffinford/stage/soak.py
+++ b/puffinford/stage/soak.py
@@ -31,7 +31,7 @@
 LIST_FAULTS = ("unavailable", "hung", "late", "reset", "absent")
 
 
-def draw(seed: int, most: int = BALANCERS) -> Script:
+def generate_script(seed: int, most: int = BALANCERS) -> Script:
     """The story of a seed, with `most` balancers at most."""
     rng = random.Random(f"soak/{seed}")
     balancers = rng.choice([number for number in (1, 2, 3, 5, 8, 13, 20, 30) if number <= max(1, most)])
@@ -129,7 +129,7 @@
     ]
 
 
-def breaches(trace: Trace, script: Script, late: float = 0.0) -> list[str]:
+def find_violations(trace: Trace, script: Script, late: float = 0.0) -> list[str]:
     """Every rule that the play of a drawn story broke, each with the request or server that shows it.
 
     `late` is by how many ms the stand-ins' own loop was late at most: what they saw may be later by as much.
@@ -141,7 +141,7 @@
         *checks.one_final_answer(trace, settled),
         *checks.no_overlapping_attempts(trace, checks.ORDER_TOLERANCE_MS + 2.0 * late),
         *checks.draining_servers_spared(trace, GRACE + late),
-        *lost(trace, script, late),
+        *unanswered_requests(trace, script, late),
         *checks.moves_announced(trace),
         *checks.effects_not_repeated(
             trace, {kind.name: (kind.effect, kind.window + late) for kind in script.kinds}
@@ -150,7 +150,7 @@
     ]
 
 
-def lost(trace: Trace, script: Script, late: float) -> list[str]:
+def unanswered_requests(trace: Trace, script: Script, late: float) -> list[str]:
     """Requests that a balancer had and that ended without an answer.
 
     No balancer had those that came while none was there, or that none accepted any more. Where the clients
@@ -174,10 +174,10 @@
     return [_told(trace, entry, asked[entry.job]) for entry in trace.of(EventKind.LOST) if not excused(entry)]
 
 
-def _told(trace: Trace, lost: TraceEvent, request: TraceEvent) -> str:
+def _told(trace: Trace, unanswered_requests: TraceEvent, request: TraceEvent) -> str:
     """What became of a lost request, on what connection, and when its balancer was killed, if it was."""
-    how = lost.detail or "out of time"
-    told = f"{lost.job}: lost after {lost.ms:.0f} ms, {how}, by {request.by}"
+    how = unanswered_requests.detail or "out of time"
+    told = f"{unanswered_requests.job}: lost after {unanswered_requests.ms:.0f} ms, {how}, by {request.by}"
     told += f" on a {request.detail or 'new'} connection"
     kills = [
         entry.at for entry in trace.of(EventKind.FAULT) if entry.by == request.by and entry.detail == KILLED
--- a/puffinford/stage/spread.py
+++ b/puffinford/stage/spread.py
@@ -22,16 +22,16 @@
 
 
 @dataclass(frozen=True)
-class Second:
+class LoadSample:
     """The load at one moment, in ms of the trace, as counts in the order of the servers."""
 
     at: float
-    held: tuple[int, ...]
+    connections: tuple[int, ...]
 
 
-def loads(
+def sample_loads(
     trace: Trace, servers: Sequence[str], since: float, until: float, step: float = 1_000.0
-) -> list[Second]:
+) -> list[LoadSample]:
     """Standing connections of each server, at each step (ms) between two times of the trace."""
     held: Counter[str] = Counter()
     seen, due = [], since
@@ -39,7 +39,7 @@
     def look(at: float) -> None:
         nonlocal due
         while due <= min(at, until):
-            seen.append(Second(due, tuple(held[server] for server in servers)))
+            seen.append(LoadSample(due, tuple(held[server] for server in servers)))
             due += step
 
     for entry in trace.of(EventKind.UP, *ENDED):
@@ -53,42 +53,46 @@
 class Evenness:
     """Loads over what each server's weight asks for; 1.0 is even.
 
-    `fullest` and `emptiest` are means over the seconds, `worst` is the highest mean of any server over any
-    window of OVER_MS, `chance` what placing as many by chance gives for `fullest`.
+    `highest_ratio` and `lowest_ratio` are means over all samples of the highest and lowest ratio of a sample,
+    `worst_window_ratio` is the highest mean of any server over any window of OVER_MS, and
+    `random_highest_ratio` the `highest_ratio` of random placement.
     """
 
-    fullest: float
-    emptiest: float
-    worst: float
-    chance: float
-    mean: float  # connections a server
+    highest_ratio: float
+    lowest_ratio: float
+    worst_window_ratio: float
+    random_highest_ratio: float
+    mean_connections: float  # connections a server
 
 
-def evenness(seconds: Sequence[Second], weights: Sequence[float]) -> Evenness | None:
+def evenness(seconds: Sequence[LoadSample], weights: Sequence[float]) -> Evenness | None:
     """The evenness of those seconds; None where there is nothing to judge."""
-    rows = [row for row in seconds if sum(row.held)]
+    rows = [row for row in seconds if sum(row.connections)]
     if not rows:
         return None
     part = [weight / sum(weights) for weight in weights]
     shares = [
-        [held / (sum(row.held) * own) for held, own in zip(row.held, part, strict=True)] for row in rows
+        [held / (sum(row.connections) * own) for held, own in zip(row.connections, part, strict=True)]
+        for row in rows
     ]
     window = max(1, round(OVER_MS / (rows[1].at - rows[0].at))) if len(rows) > 1 else 1
     worst = 0.0
     for column in zip(*shares, strict=True):
         spans = [column[n : n + window] for n in range(max(1, len(column) - window + 1))]
         worst = max([worst, *(statistics.mean(span) for span in spans)])
-    total = statistics.mean(sum(row.held) for row in rows)
+    total = statistics.mean(sum(row.connections) for row in rows)
     return Evenness(
         statistics.mean(map(max, shares)),
         statistics.mean(map(min, shares)),
         worst,
-        chance(round(total), weights, random.Random(1)),
+        random_placement_ratio(round(total), weights, random.Random(1)),
         total / len(weights),
     )
 
 
-def chance(total: int, weights: Sequence[float], rng: random.Random, draws: int = 200) -> float:
+def random_placement_ratio(
+    total: int, weights: Sequence[float], rng: random.Random, draws: int = 200
+) -> float:
     """The fullest server over its part where so many connections are placed by chance, by weight."""
     part = [weight / sum(weights) for weight in weights]
     most = []
@@ -98,7 +102,9 @@
     return statistics.mean(most) if total else 0.0
 
 
-def refused_with_room(trace: Trace, capacity: Mapping[str, float], since: float, until: float) -> int:
+def refusals_with_free_capacity(
+    trace: Trace, capacity: Mapping[str, float], since: float, until: float
+) -> int:
     """Jobs that were turned away while the fleet held under ROOM of its capacity.
 
     `capacity` is what each server holds, in connections; one that crashed, is silent or drains has none.
@@ -119,7 +125,9 @@
     return counted
 
 
-def idle(seconds: Sequence[Second], servers: Sequence[str], usable: Mapping[str, float]) -> list[str]:
+def idle_servers(
+    seconds: Sequence[LoadSample], servers: Sequence[str], usable: Mapping[str, float]
+) -> list[str]:
     """The servers that held nothing at a second later than IDLE_MS after they could have had clients.
 
     `usable` is when that was, in ms of the trace, for each server that is judged. Judged are seconds in which
@@ -131,8 +139,8 @@
         if since is None:
             continue
         for row in seconds:
-            enough = sum(row.held) >= JUDGED_FROM * len(servers)
-            if row.at >= since + IDLE_MS and enough and not row.held[number]:
+            enough = sum(row.connections) >= JUDGED_FROM * len(servers)
+            if row.at >= since + IDLE_MS and enough and not row.connections[number]:
                 found.append(server)
                 break
     return found
--- a/puffinford/stage/watching.py
+++ b/puffinford/stage/watching.py
@@ -15,7 +15,7 @@
 COUNTED: Sequence[EventKind] = (EventKind.UP, EventKind.BUSY, EventKind.LOST, EventKind.MOVED)
 
 
-async def watched(play: Play, shown: bool = True) -> Trace:
+async def run_with_progress(play: Play, shown: bool = True) -> Trace:
     """Play it; where `shown`, with a line on standard error that tells how far it is."""
     if not shown:
         return await play.run()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -13,10 +13,10 @@
 from hypothesis import strategies as st
 
 from puffinford.core.clock import Clock, SettableClock
-from puffinford.stage.faults import BadFault, read_fault, struck
+from puffinford.stage.faults import InvalidFault, read_fault, select_parties
 from puffinford.stage.links import Link
 from puffinford.stage.play import Play
-from puffinford.stage.script import BadScript, read_script
+from puffinford.stage.script import InvalidScript, read_script
 from puffinford.standins import checks
 from puffinford.standins.listeners import HOST, LineStream, reset
 from puffinford.standins.trace import EventKind, Trace
@@ -30,7 +30,7 @@
      "fin back", "rst there", "delay 5 back there", "sound back"],
 )  # fmt: skip
 def test_a_fault_that_cannot_be_played_is_named(text: str | None) -> None:
-    with pytest.raises(BadFault, match=r"none of|needs|no way"):
+    with pytest.raises(InvalidFault, match=r"none of|needs|no way"):
         read_fault(text)
 
 
@@ -38,19 +38,19 @@
 def test_no_words_do_more_than_be_refused(text: str) -> None:
     try:
         fault = read_fault(text)
-    except BadFault:
+    except InvalidFault:
         return
     assert read_fault(f"{fault.kind} {fault.figure or ''} {fault.way}") == fault
 
 
 def test_a_fault_strikes_the_same_part_each_time() -> None:
-    fifth = struck("n*", BALANCERS, 0.2, random.Random("7/1"))
-    assert len(fifth) == 2 and fifth == struck("n*", BALANCERS, 0.2, random.Random("7/1"))
-    assert struck("zone:z1", BALANCERS, 1.0, random.Random(1)) == ["n1", "n4", "n7", "n10"]
-    assert len(struck("n1, n2", BALANCERS, 0.01, random.Random(1))) == 1
+    fifth = select_parties("n*", BALANCERS, 0.2, random.Random("7/1"))
+    assert len(fifth) == 2 and fifth == select_parties("n*", BALANCERS, 0.2, random.Random("7/1"))
+    assert select_parties("zone:z1", BALANCERS, 1.0, random.Random(1)) == ["n1", "n4", "n7", "n10"]
+    assert len(select_parties("n1, n2", BALANCERS, 0.01, random.Random(1))) == 1
     for pattern, part in (("n99", 1.0), ("zone:z9", 1.0), ("n*", 0.0), ("n*", 1.5)):
-        with pytest.raises(BadFault, match=r"names none|part"):
-            struck(pattern, BALANCERS, part, random.Random(1))
+        with pytest.raises(InvalidFault, match=r"names none|part"):
+            select_parties(pattern, BALANCERS, part, random.Random(1))
 
 
 @pytest.mark.parametrize(
@@ -67,7 +67,7 @@
     ],
 )
 def test_a_script_names_the_entry_that_cannot_be_played(event: dict[str, Any], place: str) -> None:
-    with pytest.raises(BadScript, match="events, entry 1: .*" + place):
+    with pytest.raises(InvalidScript, match="events, entry 1: .*" + place):
         read_script({"balancers": 3, "servers": {"gw": {"count": 2}}, "events": [event]})
 
 
@@ -94,7 +94,7 @@
         return await self.another()
 
     async def another(self) -> LineStream:
-        return LineStream(await anyio.connect_tcp(HOST, self.link.number))
+        return LineStream(await anyio.connect_tcp(HOST, self.link.port))
 
 
 @pytest.mark.anyio
@@ -124,16 +124,16 @@
     async with anyio.create_task_group() as tasks:
         line = Line(clock, tasks)
         near = await line.open()
-        await line.link.become(read_fault("delay 300 back"))
+        await line.link.set_fault(read_fault("delay 300 back"))
         await near.send_line(b"one")
         while not clock.waiting:  # the echo has come, and its time has not
             await anyio.sleep(0)
-        there = line.link.passed
+        there = line.link.forwarded_bytes
         clock.advance(299.0)
         await anyio.wait_all_tasks_blocked()
-        assert line.link.passed == there == len(b"one\r\n"), "there, and not back"
+        assert line.link.forwarded_bytes == there == len(b"one\r\n"), "there, and not back"
         clock.advance(1.0)
-        assert await near.next() == b"one" and line.link.lateness == 0.0
+        assert await near.next() == b"one" and line.link.max_lateness_ms == 0.0
         tasks.cancel_scope.cancel()
 
 
@@ -149,7 +149,7 @@
         near = await line.open()
         await near.send_line(b"zero")
         assert await near.next() == b"zero"
-        await line.link.become(read_fault(fault))
+        await line.link.set_fault(read_fault(fault))
         await near.send_line(b"one")
         heard: list[bytes] = []
 
@@ -157,17 +157,17 @@
             heard.append(await near.next())
 
         tasks.start_soon(hear)
-        passed = line.link.passed
+        passed = line.link.forwarded_bytes
         if after is not None and not fault.startswith("hold"):
             while not heard:
                 await anyio.sleep(0)
         else:
             far = len(b"one\r\n") if fault.endswith("back") else 0
-            while line.link.passed < passed + far:
+            while line.link.forwarded_bytes < passed + far:
                 await anyio.sleep(0)
             await anyio.wait_all_tasks_blocked()
             assert not heard
-        await line.link.become(read_fault("sound"))
+        await line.link.set_fault(read_fault("sound"))
         fresh = await line.another()
         await fresh.send_line(b"two")
         assert await fresh.next() == b"two", "a new line finds the link sound"
@@ -288,7 +288,7 @@
         events.append({"at": 1.02 + 0.6 * n, "server": f"gw-{n + 1}", "do": "leaving"})
     play, trace = played(tmp_path, told(4.5, events, rate=150.0))
     assert sum(entry.detail == "freeze" for entry in trace.of(EventKind.FAULT)) == 16
-    assert checks.draining_servers_spared(trace, 500.0 + play.lateness) == []
+    assert checks.draining_servers_spared(trace, 500.0 + play.max_lateness_ms) == []
     assert kept(trace) == []
 
 
@@ -308,10 +308,10 @@
     play, trace = played(tmp_path, script)
     assert checks.one_final_answer(trace, trace.serving_ended_at - 2_500.0) == []
     # Claims last some ms here: what the stand-ins saw may be later by their own loop, at both ends.
-    assert checks.no_overlapping_attempts(trace, checks.ORDER_TOLERANCE_MS + 2.0 * play.lateness) == []
+    assert checks.no_overlapping_attempts(trace, checks.ORDER_TOLERANCE_MS + 2.0 * play.max_lateness_ms) == []
     late = [entry for entry in trace.of(EventKind.LOST) if entry.at < trace.serving_ended_at - 600.0]
     assert late == [], "an answer comes within half a second after the time"
-    told_kinds = {kind.name: (kind.effect, kind.window + play.lateness) for kind in play.script.kinds}
+    told_kinds = {kind.name: (kind.effect, kind.window + play.max_lateness_ms) for kind in play.script.kinds}
     assert checks.effects_not_repeated(trace, told_kinds) == []
 
 
--- a/tests/test_relay_age.py
+++ b/tests/test_relay_age.py
@@ -109,7 +109,7 @@
     async def balance(self, relays: list[Link], seed: int) -> None:
         """A balancer from now on, once the relays have their list; it prefers the first."""
         await self.pass_time(1_000.0)
-        addresses = [("127.0.0.1", link.number) for link in relays]
+        addresses = [("127.0.0.1", link.port) for link in relays]
         nowhere = ("127.0.0.1", 1)
         rng = random.Random(seed)
         watch = DiscoveryWatch(nowhere, None, self.clock, self._take, False, rng, addresses)
@@ -163,10 +163,10 @@
     made = []
     for _ in range(count):
         above = [here.link(port)]
-        number = await here.relay(above[0].number, tiers, tiers == ONE_TIER, max_age)
+        number = await here.relay(above[0].port, tiers, tiers == ONE_TIER, max_age)
         if tiers == TWO_TIERS:
             above.append(here.link(number))
-            number = await here.relay(above[1].number, tiers, True, max_age)
+            number = await here.relay(above[1].port, tiers, True, max_age)
         made.append(Chain(above, here.link(number)))
     return source, made
 
@@ -179,13 +179,17 @@
         source, (first, second, third) = await chains(here, tiers, 3, 2_000.0)
         await here.balance([first.way, second.way, third.way], 1 + int(phase) % 7)
         await here.pass_time(2_500.0 + phase)
-        assert here.state is ServerState.LIVE and not second.way.lines and not third.way.lines
+        assert (
+            here.state is ServerState.LIVE
+            and not second.way.accepted_connections
+            and not third.way.accepted_connections
+        )
 
         async def silent(link: Link, after: float) -> None:
             await here.clock.sleep(after)
-            await link.become(Fault("hold"))
+            await link.set_fault(Fault("hold"))
 
-        await first.above[0].become(Fault("hold"))
+        await first.above[0].set_fault(Fault("hold"))
         source.drain()
         for link in first.above[1:]:
             # What is above falls silent itself, as its list is about to be too old.
@@ -201,7 +205,7 @@
         source, (first, second) = await chains(here, tiers, 2, max_age)
         await here.balance([first.way, second.way], 1)
         await here.pass_time(3_000.0)
-        await first.above[0].become(Fault("hold"))
+        await first.above[0].set_fault(Fault("hold"))
         source.drain()
         return await here.pass_time(2 * TOLD, here.knows)
 
@@ -234,12 +238,12 @@
         await here.balance([chain.way for chain in relays], 1)
         await here.pass_time(3_000.0)
         for link in above:
-            await link.become(Fault("rst"))
+            await link.set_fault(Fault("rst"))
         source.drain()
         await here.pass_time(down)
         assert here.state is ServerState.LIVE, "the last list stays in force"
         for link in above:
-            await link.become(Fault())
+            await link.set_fault(Fault())
         assert await here.pass_time(TOLD, here.knows) <= TOLD - 1_000.0
 
 
@@ -249,17 +253,17 @@
         old, new = Source(here.clock), Source(here.clock, version=8)
         ports = [await here.serve(old), await here.serve(new)]
         ways = [here.link(await here.relay(port, ONE_TIER, True, 2_000.0)) for port in ports]
-        await ways[0].become(Fault("rst"))
+        await ways[0].set_fault(Fault("rst"))
         await here.balance(ways, 1)
         await here.pass_time(3_000.0)
         new.drain()
         await here.pass_time(1_000.0)
         assert here.versions[-1] == 9 and here.knows()
-        await ways[1].become(Fault("hold"))
-        await ways[0].become(Fault())
+        await ways[1].set_fault(Fault("hold"))
+        await ways[0].set_fault(Fault())
         await here.pass_time(9_000.0)
         assert here.knows(), "twice the same from the same relay is not believed"
-        await ways[1].become(Fault())
+        await ways[1].set_fault(Fault())
         new.drain()
         await here.pass_time(3_000.0)
         assert here.versions[-1] == 10 and here.versions == sorted(here.versions)
--- a/tests/test_relay_processes.py
+++ b/tests/test_relay_processes.py
@@ -16,7 +16,7 @@
 from puffinford.cli import main
 from puffinford.core.clock import Clock
 from puffinford.server_list.endpoints import rendezvous_order
-from puffinford.stage.relays import Relays, relays
+from puffinford.stage.relays import LinkRelays, start_relays
 from puffinford.standins.discovery import Discovery
 from puffinford.standins.trace import Trace
 from tests.harness import Peer, Program, opening, program
@@ -51,7 +51,9 @@
 class Site:
     """The list service, its servers, and the processes that were started."""
 
-    def __init__(self, tasks: anyio.abc.TaskGroup, links: Relays, stack: AsyncExitStack, path: Path) -> None:
+    def __init__(
+        self, tasks: anyio.abc.TaskGroup, links: LinkRelays, stack: AsyncExitStack, path: Path
+    ) -> None:
         clock = Clock()
         self.tasks, self.links, self.path = tasks, links, path
         self.servers = Servers(tasks)
@@ -109,7 +111,7 @@
 @asynccontextmanager
 async def site(path: Path) -> AsyncIterator[Site]:
     with anyio.fail_after(60):
-        async with anyio.create_task_group() as tasks, relays(1) as links:
+        async with anyio.create_task_group() as tasks, start_relays(1) as links:
             async with AsyncExitStack() as stack:
                 made = Site(tasks, links, stack, path)
                 await made.open()
@@ -176,18 +178,18 @@
 
 async def test_a_relay_that_is_cut_off_says_so_and_balancers_serve_by_the_last_list(tmp_path: Path) -> None:
     async with site(tmp_path) as here:
-        await here.links.make(0, {"r1": int(here.source.address.partition(":")[2])})
+        await here.links.add_links(0, {"r1": int(here.source.address.partition(":")[2])})
         relay, port = await here.relay("r1", here.links.ports["r1"])
         balancers = [await here.balancer("n1", [port])]
         version = here.source.registry.version
-        await here.links.become(["r1"], "hold")
+        await here.links.set_fault(["r1"], "hold")
         here.source.put("s-1", state="leaving")
         await relay.wait_for_log(b"level=warning .*event=stale age_ms=")
         assert [(await ask(port, query))[0] for query in ("", f"?index={version}&wait=0")] == [503, 503]
         await balancers[0][0].wait_for_log(b'event="discovery failed" .*503')
         while not all(here.servers.openings.values()):  # by its last list, in which both are active
             assert await here.serve(balancers[0][1]) == b"UP r1\r\n"
-        await here.links.become(["r1"], "sound")
+        await here.links.set_fault(["r1"], "sound")
         await relay.wait_for_log(b"event=fresh version=")
         await drained_everywhere(here, balancers)
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -11,7 +11,7 @@
 import pytest
 
 from puffinford.stage.play import Play
-from puffinford.stage.soak import breaches, draw, lost
+from puffinford.stage.soak import find_violations, generate_script, unanswered_requests
 from puffinford.standins import checks
 from puffinford.standins.trace import EventKind
 from tests.harness import trace_of
@@ -23,10 +23,10 @@
 
 @pytest.mark.parametrize("seed", [11, 12, 13, 14])
 def test_processes_keep_the_rules_under_drawn_faults_and_signals(seed: int, tmp_path: Path) -> None:
-    script = draw(seed, SMALL)
+    script = generate_script(seed, SMALL)
     play = Play(script, tmp_path)
     trace = anyio.run(play.run)
-    assert breaches(trace, script, play.lateness) == []
+    assert find_violations(trace, script, play.max_lateness_ms) == []
 
 
 # Failures of a moment, by part of the calls, under every process of a story; none is a peer's.
@@ -56,7 +56,7 @@
     plan.apply(0.0, *FAILING, seed=seed)
     for step in steps:
         step.start()
-    script = draw(seed, SMALL)
+    script = generate_script(seed, SMALL)
     play = Play(script, tmp_path, env={"FAULT_PLAN": str(plan.path), "PYTHONPATH": f"{SEAM}:{ROOT}"})
     try:
         trace = anyio.run(play.run)
@@ -64,7 +64,7 @@
         for step in steps:
             step.cancel()
             step.join()
-    assert breaches(trace, script, play.lateness) == []
+    assert find_violations(trace, script, play.max_lateness_ms) == []
 
 
 SECOND_SIGNAL = "counts from the first signal.\n                continue"
@@ -87,10 +87,10 @@
     broken = serve.read_text().replace(line, instead)
     assert broken != serve.read_text()
     serve.write_text(broken)
-    script = draw(11, SMALL)
+    script = generate_script(11, SMALL)
     play = Play(script, tmp_path, root=tree)
     trace = anyio.run(play.run)
-    assert any(told in breach for breach in breaches(trace, script, play.lateness))
+    assert any(told in breach for breach in find_violations(trace, script, play.max_lateness_ms))
 
 
 @pytest.mark.parametrize(
@@ -106,7 +106,7 @@
     )
     if at > 1_000.0:
         trace.entries.insert(1, replace(trace.entries[0], at=1_000.0, detail="wake"))
-    assert bool(lost(trace, draw(11, SMALL), 0.0)) is wrong
+    assert bool(unanswered_requests(trace, generate_script(11, SMALL), 0.0)) is wrong
 
 
 KINDS = {"once": ("at_most_once", 0.0), "keyed": ("deduplicated", 1_000.0), "safe": ("idempotent", 0.0)}
--- a/tests/test_stage.py
+++ b/tests/test_stage.py
@@ -13,11 +13,18 @@
 
 from puffinford.cli import main
 from puffinford.cli.stage import STORIES_DIRECTORY
-from puffinford.stage.play import Failed, Play
-from puffinford.stage.relays import RelayEnded, relays
-from puffinford.stage.report import Report, latencies, spans
-from puffinford.stage.script import BadScript, Script, read_script
-from puffinford.stage.spread import Second, chance, evenness, idle, loads, refused_with_room
+from puffinford.stage.play import Play, PlayFailed
+from puffinford.stage.relays import RelayEnded, start_relays
+from puffinford.stage.report import Report, fault_spans, latency_percentiles
+from puffinford.stage.script import InvalidScript, Script, read_script
+from puffinford.stage.spread import (
+    LoadSample,
+    evenness,
+    idle_servers,
+    random_placement_ratio,
+    refusals_with_free_capacity,
+    sample_loads,
+)
 from puffinford.standins import checks
 from puffinford.standins.discovery import Discovery
 from puffinford.standins.listeners import HOST, LineStream
@@ -56,7 +63,7 @@
 def test_a_story_that_cannot_be_played_is_refused_by_place_and_value(
     more: dict[str, Any], place: str
 ) -> None:
-    with pytest.raises(BadScript, match=place):
+    with pytest.raises(InvalidScript, match=place):
         read_script({**SMALL, **more})
 
 
@@ -85,7 +92,7 @@
     told = {**SMALL, "balancers": 20, "busy": {"n*": {"part": 0.1, "times": 5}}}
     one, again = read_script(told), read_script(told)
     assert one.busy == again.busy and list(one.busy.values()) == [5.0, 5.0]
-    assert one.names["n4"] == "z1" and one.servers["gw-3"].zone == "z3"
+    assert one.balancer_zones["n4"] == "z1" and one.servers["gw-3"].zone == "z3"
 
 
 @pytest.mark.parametrize(("words", "error"), [(["no-such-story"], "No such file"), (["{file}"], "entry 1")])
@@ -114,9 +121,9 @@
             await echo(Peer(stream))
 
         port = await here.listen(handle)
-        async with relays(2) as made:
-            await made.make(1, {"a>x": port, "a>y": port})
-            await made.make(2, {"b>x": port})
+        async with start_relays(2) as made:
+            await made.add_links(1, {"a>x": port, "a>y": port})
+            await made.add_links(2, {"b>x": port})
             assert len(set(made.ports.values())) == 3
             lines = [
                 LineStream(await anyio.connect_tcp(HOST, made.ports[name])) for name in ("a>x", "a>y", "b>x")
@@ -124,14 +131,14 @@
             for line in lines:
                 await line.send_line(b"one")
             assert [await line.next() for line in lines] == [b"one"] * 3
-            await made.become(["a>y", "b>x"], "rst")
+            await made.set_fault(["a>y", "b>x"], "rst")
             assert [await line.next() for line in lines[1:]] == [LineStream.RST] * 2
             await lines[0].send_line(b"two")
             assert await lines[0].next() == b"two"
-            await made.look()
-            assert made.lateness < 1_000.0
+            await made.poll_lateness()
+            assert made.max_lateness_ms < 1_000.0
             with pytest.raises(RelayEnded, match=r"relay 2: .*sing"):
-                await made.become(["a>x"], "sing")
+                await made.set_fault(["a>x"], "sing")
         assert await lines[0].next() in (LineStream.FIN, LineStream.RST), "with its process"
         here.tasks.cancel_scope.cancel()
 
@@ -157,7 +164,7 @@
 
             tasks.start_soon(strike)
             with pytest.raises(
-                Failed, match="n2 ended by itself" if party == "balancer" else "relay 1 ended"
+                PlayFailed, match="n2 ended by itself" if party == "balancer" else "relay 1 ended"
             ):
                 await play.run()
 
@@ -234,17 +241,25 @@
 # What is read from a trace
 
 
-def stood(*counts: Sequence[int]) -> list[Second]:
-    return [Second(1_000.0 * n, tuple(row)) for n, row in enumerate(counts)]
+def stood(*counts: Sequence[int]) -> list[LoadSample]:
+    return [LoadSample(1_000.0 * n, tuple(row)) for n, row in enumerate(counts)]
 
 
 def test_evenness_goes_by_what_each_server_should_carry() -> None:
     even = evenness(stood((20, 40), (20, 40)), [1.0, 2.0])
-    assert even is not None and even.fullest == even.emptiest == even.worst == 1.0 and even.mean == 30.0
+    assert (
+        even is not None
+        and even.highest_ratio == even.lowest_ratio == even.worst_window_ratio == 1.0
+        and even.mean_connections == 30.0
+    )
     skew = evenness(stood((40, 20), (20, 40)), [1.0, 1.0])
-    assert skew is not None and skew.fullest == pytest.approx(4 / 3) and skew.worst == pytest.approx(1.0)
+    assert (
+        skew is not None
+        and skew.highest_ratio == pytest.approx(4 / 3)
+        and skew.worst_window_ratio == pytest.approx(1.0)
+    )
     assert evenness([], [1.0]) is None and evenness(stood((0, 0)), [1.0, 1.0]) is None
-    assert 1.3 < chance(900, [1.0] * 30, random.Random(1)) < 1.6
+    assert 1.3 < random_placement_ratio(900, [1.0] * 30, random.Random(1)) < 1.6
 
 
 def test_loads_idle_servers_and_refusals_with_room_are_counted() -> None:
@@ -257,11 +272,11 @@
         (3_600.0, EventKind.STATE, {"server": "b", "detail": "silent"}),
         (3_700.0, EventKind.BUSY, {}),
     )
-    rows = loads(trace, ["a", "b"], 1_000.0, 3_000.0)
-    assert [row.held for row in rows] == [(100, 0), (100, 0), (99, 0)]
-    assert idle(rows, ["a", "b"], {"a": 0.0, "b": 0.0}) == ["b"]
-    assert idle(rows, ["a", "b"], {"a": 0.0, "b": 1_500.0}) == [], "two seconds are not over"
-    assert refused_with_room(trace, {"a": 100.0, "b": 100.0}, 0.0, 4_000.0) == 1, (
+    rows = sample_loads(trace, ["a", "b"], 1_000.0, 3_000.0)
+    assert [row.connections for row in rows] == [(100, 0), (100, 0), (99, 0)]
+    assert idle_servers(rows, ["a", "b"], {"a": 0.0, "b": 0.0}) == ["b"]
+    assert idle_servers(rows, ["a", "b"], {"a": 0.0, "b": 1_500.0}) == [], "two seconds are not over"
+    assert refusals_with_free_capacity(trace, {"a": 100.0, "b": 100.0}, 0.0, 4_000.0) == 1, (
         "a full one and a silent one"
     )
 
@@ -277,11 +292,14 @@
         (9_000.0, EventKind.DONE, {"job": "j", "server": "gw"}),
     )
     trace.serving_ended_at = 9_000.0
-    assert [str(span) for span in spans(trace)] == ["freeze: n1, n2"]
-    assert latencies(trace.of(EventKind.UP)) == pytest.approx([5.0] * 4, rel=0.01) and latencies([]) == []
+    assert [str(span) for span in fault_spans(trace)] == ["freeze: n1, n2"]
+    assert (
+        latency_percentiles(trace.of(EventKind.UP)) == pytest.approx([5.0] * 4, rel=0.01)
+        and latency_percentiles([]) == []
+    )
     report = Report(trace, Script(servers={"gw": ServerProfile()}))
     assert "rules kept" in report.text() and "freeze: n1, n2" in report.text()
-    report.picture(tmp_path / "play.png")
+    report.write_chart(tmp_path / "play.png")
     assert (tmp_path / "play.png").stat().st_size > 10_000
 
 
@@ -295,10 +313,10 @@
     )
     trace = anyio.run(Play(script, tmp_path).run)
     report = Report(trace, script)
-    assert report.broken == []
-    turned, with_room = report.refused()
+    assert report.violations == []
+    turned, with_room = report.count_refusals()
     assert with_room <= 0.02 * len(list(trace.of(EventKind.REQUESTED))), turned
     assert {span.do for span in report.faults} >= {
         event.do for event in script.events if event.whom != "server"
     }
-    assert report.idle() == []
+    assert report.idle_servers() == []
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -14,8 +14,8 @@
 from puffinford.core.clock import Clock
 from puffinford.stage.demo import SCRIPT
 from puffinford.stage.play import Play
-from puffinford.stage.report import Report, rules
-from puffinford.stage.script import BadScript, read_script
+from puffinford.stage.report import Report, rule_violations
+from puffinford.stage.script import InvalidScript, read_script
 from puffinford.standins import checks
 from puffinford.standins.balancer import reserve_port
 from puffinford.standins.discovery import Discovery, EntryRegistry
@@ -153,7 +153,7 @@
     ],
 )
 def test_a_script_that_cannot_be_played_is_refused(told: Any) -> None:
-    with pytest.raises(BadScript):
+    with pytest.raises(InvalidScript):
         read_script(told)
 
 
@@ -281,6 +281,6 @@
         *(event for event in script.events if event.at <= 2_000.0),
     ]
     trace = anyio.run(Play(script, tmp_path).run)
-    assert not rules(trace, trace.elapsed - 3_000.0)
+    assert not rule_violations(trace, trace.elapsed - 3_000.0)
     assert trace.count(EventKind.UP).total() > 0 and "gw-1" in Report(trace, script).text()
     assert {entry.detail for entry in trace.of(EventKind.STATE)} >= {"sound", "refusing"}
