--- a/puffinford/stage/__init__.py
+++ b/puffinford/stage/__init__.py
@@ -1,1 +1,1 @@
-"""The stage: many real balancers, and faults put between them and all that they speak with."""
+"""Fault tests on loopback: many balancer processes, with faults injected on their links and in processes."""
--- a/puffinford/stage/crowds.py
+++ b/puffinford/stage/crowds.py
@@ -1,4 +1,4 @@
-"""Clients that come for one balancer: those that hold a connection until it ends, and idle crowds."""
+"""Clients of one balancer: those that hold a connection until it shuts down, and crowds of idle ones."""
 
 from __future__ import annotations
 
@@ -13,45 +13,49 @@
 from puffinford.standins.holding import STATES, send
 from puffinford.standins.listeners import HOST, LineStream
 
-LAST = 300.0  # ms before the kill in which a third of the held requests are written
-PAST = 20.0  # ms after it, in which another third is
-HALF_OPEN = b"OPEN 0"  # what every other idle client writes
+BEFORE_KILL_MS = 300.0  # a third of the held requests are written in this time before the kill
+AFTER_KILL_MS = 20.0  # another third are written in this time after it
+PARTIAL_OPEN = b"OPEN 0"  # an unfinished first line, written by every second idle client
 
 
 def hold_connections(
-    clients: Clients, balancer: BalancerProcess, until: float, each: int, clock: Clock, rng: random.Random
+    clients: Clients, balancer: BalancerProcess, kill_at: float, each: int, clock: Clock, rng: random.Random
 ) -> None:
-    """Clients of each state and front come to this balancer, which is killed at `until` on the clock.
+    """Start clients of each state on each front of a balancer that is killed at `kill_at` (ms of the clock).
 
-    There are `each` for each time to write a request: any before the kill, its last LAST ms, and PAST ms
-    after it, for a connection that is held until then is lost.
+    `each` clients write their request at any time before the kill, as many in the last BEFORE_KILL_MS, and as
+    many in the AFTER_KILL_MS after it: a connection that is still held then is lost.
     """
     fronts = [(balancer.port, False)]
     if balancer.channel_port:
         fronts.append((balancer.channel_port, True))
     now = clock.now()
-    times = [(now, until), (max(now, until - LAST), until), (until, until + PAST)] * each
+    windows = [
+        (now, kill_at),
+        (max(now, kill_at - BEFORE_KILL_MS), kill_at),
+        (kill_at, kill_at + AFTER_KILL_MS),
+    ] * each
     for port, channels in fronts:
         for state in STATES:
-            for since, before in times:
-                clients.hold(state, balancer.name, port, rng.uniform(since, before), channels=channels)
+            for start, end in windows:
+                clients.hold(state, balancer.name, port, rng.uniform(start, end), channels=channels)
 
 
 class Crowds:
-    """Idle clients, by balancer: they connect and say nothing, or stop in their first line."""
+    """Idle clients, by balancer: they connect and send nothing, or an unfinished first line."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
         self._tasks = tasks
         self._scopes: dict[str, anyio.CancelScope] = {}
 
     def start(self, name: str, port: int, number: int) -> None:
-        """So many come to a balancer at once, and stay until they are ended or told to go."""
+        """Connect `number` idle clients to a balancer; they stay until `stop` or a close."""
         self.stop(name)
         scope = self._scopes[name] = anyio.CancelScope()
         self._tasks.start_soon(self._crowd, scope, port, number)
 
     def stop(self, name: str) -> None:
-        """Those at a balancer leave, if there are any."""
+        """Disconnect the idle clients of a balancer, if there are any."""
         scope = self._scopes.pop(name, None)
         if scope is not None:
             scope.cancel()
@@ -59,19 +63,19 @@
     async def _crowd(self, scope: anyio.CancelScope, port: int, number: int) -> None:
         with scope:
             async with anyio.create_task_group() as tasks:
-                for one in range(number):
-                    tasks.start_soon(self._idle, port, one % 2 == 1)
+                for index in range(number):
+                    tasks.start_soon(self._idle, port, index % 2 == 1)
                     await anyio.sleep(0)
 
-    async def _idle(self, port: int, half: bool) -> None:
+    async def _idle(self, port: int, partial_line: bool) -> None:
         try:
             stream = await anyio.connect_tcp(HOST, port)
         except OSError:
             return
         lines = LineStream(stream)
         try:
-            if half:
-                await send(stream, HALF_OPEN)
+            if partial_line:
+                await send(stream, PARTIAL_OPEN)
             while await lines.next() not in (LineStream.FIN, LineStream.RST):
                 pass
         finally:
--- a/puffinford/stage/links.py
+++ b/puffinford/stage/links.py
@@ -1,6 +1,6 @@
-"""A link: one way between two parties through a port of its own on loopback, with the faults that links have.
+"""A TCP proxy on a loopback port of its own, which injects the faults of a network link between two parties.
 
-A line through a sound link keeps its bytes, their order and how it ends: FIN stays FIN, RST stays RST.
+A connection through a sound link keeps its bytes, their order and how it ends: FIN stays FIN, RST stays RST.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from puffinford.stage.faults import Fault
 from puffinford.standins.listeners import ListeningPort, reset
 
-PIECES = 64  # read ahead on a way that is delayed; guards memory against a peer that writes without end
-CONNECT = 2_000.0  # ms
-Piece = tuple[float, bytes | None]  # when it came; no bytes: FIN, None: RST
+MAX_QUEUED_CHUNKS = 64  # of each direction of a connection: bounds memory while a fault delays them
+CONNECT_TIMEOUT_MS = 2_000.0
+Chunk = tuple[float, bytes | None]  # arrival time in ms and data; empty data: FIN, None: RST
 
 
 class Link:
-    """One link. `set_fault` changes what it does, for the lines that stand too."""
+    """One link. `set_fault` changes its fault, also for the connections that are open."""
 
     def __init__(
         self,
@@ -31,59 +31,59 @@
         clock: Clock,
         tasks: anyio.abc.TaskGroup,
     ) -> None:
-        """`target` is the host and port it leads to."""
+        """Listen on a free port; connections are forwarded to `target`, a host and port."""
         self.name = name
         self.fault = Fault()
-        self.accepted_connections = 0  # that were taken
-        self.forwarded_bytes = 0  # bytes
-        self.max_lateness_ms = 0.0  # ms: the most that a piece was passed on after it was due
+        self.accepted_connections = 0
+        self.forwarded_bytes = 0
+        self.max_lateness_ms = 0.0  # by which a chunk was forwarded after it was due
         self._target = target
         self._clock = clock
         self._changed = anyio.Event()
-        self._port = ListeningPort(self._play, tasks)
-        self._port.open()
+        self._listener = ListeningPort(self._forward, tasks)
+        self._listener.open()
 
     @property
     def port(self) -> int:
-        """The port to connect to, on HOST."""
-        return self._port.number
+        """The port of HOST to connect to."""
+        return self._listener.number
 
     async def set_fault(self, fault: Fault) -> None:
-        """Change what it does."""
+        """Replace the fault of this link."""
         self.fault = fault
         self._changed.set()
         self._changed = anyio.Event()
         if fault.kind == "rst":
-            await self._port.break_all()
+            await self._listener.break_all()
         elif fault.kind == "fin":
-            for stream in list(self._port.streams):
+            for stream in list(self._listener.streams):
                 with contextlib.suppress(anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
                     await stream.aclose()
 
-    async def _play(self, near: SocketStream) -> None:
+    async def _forward(self, near: SocketStream) -> None:
         self.accepted_connections += 1
         if self.fault.kind in ("fin", "rst"):
             if self.fault.kind == "rst":
                 await reset(near)
             return
-        while self.fault.on("there") == "hold":  # accepted, and as good as not there
+        while self.fault.kind_for("there") == "hold":  # accepted, but not yet forwarded
             await self._changed.wait()
         try:
-            with anyio.fail_after(CONNECT / 1_000.0):
+            with anyio.fail_after(CONNECT_TIMEOUT_MS / 1_000.0):
                 far = await anyio.connect_tcp(*self._target)
         except (OSError, TimeoutError):
             return await reset(near)
         try:
-            async with anyio.create_task_group() as ways:
-                for way, source, sink in (("there", near, far), ("back", far, near)):
-                    send, take = anyio.create_memory_object_stream[Piece](PIECES)
-                    ways.start_soon(self._read, source, send)
-                    ways.start_soon(self._write, way, take, (near, far), sink, ways)
+            async with anyio.create_task_group() as directions:
+                for direction, source, sink in (("there", near, far), ("back", far, near)):
+                    send, receive = anyio.create_memory_object_stream[Chunk](MAX_QUEUED_CHUNKS)
+                    directions.start_soon(self._read, source, send)
+                    directions.start_soon(self._write, direction, receive, (near, far), sink, directions)
         finally:
             await anyio.aclose_forcefully(far)
 
-    async def _read(self, source: SocketStream, send: MemoryObjectSendStream[Piece]) -> None:
-        """What comes, with its times; bytes of a line that ended with RST after them are still passed on."""
+    async def _read(self, source: SocketStream, send: MemoryObjectSendStream[Chunk]) -> None:
+        """Queue what arrives with its arrival time; data that arrived before an RST is still forwarded."""
         data: bytes | None = b""
         with send:
             while True:
@@ -100,28 +100,28 @@
 
     async def _write(
         self,
-        way: str,
-        take: MemoryObjectReceiveStream[Piece],
+        direction: str,
+        receive: MemoryObjectReceiveStream[Chunk],
         ends: tuple[SocketStream, SocketStream],
         sink: SocketStream,
-        ways: anyio.abc.TaskGroup,
+        directions: anyio.abc.TaskGroup,
     ) -> None:
-        """Pass on what came on one way, as the fault of the moment says."""
-        passed, lost = 0, False
-        with take:
-            async for came, data in take:
-                due = await self._due(way, came, len(data or b""))
-                kind = self.fault.on(way)
+        """Forward the chunks of one direction, subject to the current fault."""
+        forwarded, lost = 0, False
+        with receive:
+            async for arrived_at, data in receive:
+                due = await self._wait_until_due(direction, arrived_at, len(data or b""))
+                kind = self.fault.kind_for(direction)
                 lost = lost or kind == "drop"
-                if lost:  # a line with a gap in it says nothing any more, nor that it has ended
+                if lost:  # after a gap neither data nor the end of the connection is forwarded
                     continue
-                cut = kind == "cut" and data and passed + len(data) > self.fault.figure
+                cut = kind == "cut" and data and forwarded + len(data) > self.fault.value
                 if cut and data:
-                    data = data[: max(0, int(self.fault.figure) - passed)]
+                    data = data[: max(0, int(self.fault.value) - forwarded)]
                 try:
                     if data:
                         await sink.send(data)
-                        passed += len(data)
+                        forwarded += len(data)
                         self.forwarded_bytes += len(data)
                         self.max_lateness_ms = max(self.max_lateness_ms, self._clock.now() - due)
                     elif data is not None and not cut:
@@ -131,19 +131,19 @@
                 if data is None or cut:
                     for end in ends:
                         await reset(end)
-                    ways.cancel_scope.cancel()
+                    directions.cancel_scope.cancel()
                     return
 
-    async def _due(self, way: str, came: float, size: int) -> float:
-        """Wait until a piece may be passed on; tells when that was."""
-        due = came
-        while self.fault.on(way) == "hold":
+    async def _wait_until_due(self, direction: str, arrived_at: float, size: int) -> float:
+        """Wait until a chunk may be forwarded; return when it became due (ms of the clock)."""
+        due = arrived_at
+        while self.fault.kind_for(direction) == "hold":
             await self._changed.wait()
             due = self._clock.now()
-        if self.fault.on(way) == "delay":
-            due = max(due, came + self.fault.figure)
-        elif self.fault.on(way) == "rate":
-            due = max(due, self._clock.now()) + size / self.fault.figure * 1_000.0
+        if self.fault.kind_for(direction) == "delay":
+            due = max(due, arrived_at + self.fault.value)
+        elif self.fault.kind_for(direction) == "rate":
+            due = max(due, self._clock.now()) + size / self.fault.value * 1_000.0
         if due > self._clock.now():
             await self._clock.sleep(due - self._clock.now())
         return due
--- a/puffinford/stage/play.py
+++ b/puffinford/stage/play.py
@@ -1,6 +1,7 @@
-"""A play: servers, discovery and clients round balancers that are processes, by a script of what happens.
+"""Runs a script: balancer processes with simulated servers, discovery and clients, and the script's events.
 
-What a script can hold is told in `stage.script`. A stand-in or link that dies ends the play with its error.
+`stage.script` describes what a script can hold. If a simulated party or a link fails, the play ends with its
+error.
 """
 
 from __future__ import annotations
@@ -31,25 +32,25 @@
 from puffinford.standins.servers import LineServer
 from puffinford.standins.trace import KILLED, EventKind, Trace
 
-TENANTS = 6  # that clients come from, in equal parts
-ENDS = {"server": "sound", "links": "sound", "lists": "plain", "balancers": "wake"}  # after `for`
-BALANCERS_EACH = 40  # whose links one relay process carries
-LONGEST_DEADLINE = 3_000.0  # ms; a longer one counts as this at a planned restart ...
-KILL_SPARE = 700.0  # ... which is killed so long after it
-SERIES = 100.0  # ms between signals in series
-LAST_ANSWERS = 500.0  # ms for the answers that are out when the last client has come
-LOOK_EVERY = 2.0  # ms between looks of the play at what it waits for, and at its own loop
-GUARD_EVERY = 250.0  # ms
-OTHER_DEADLINES = (0.5, 2.0)  # times those of before, in a configuration that comes between two SIGTERMs
-END_WITHIN = 20.0  # seconds in which a balancer that is told to end has to
+TENANT_COUNT = 6  # clients come from them in equal shares
+FAULT_ENDS = {"server": "sound", "links": "sound", "lists": "plain", "balancers": "wake"}  # by `whom`
+BALANCERS_PER_RELAY = 40  # whose links one relay process holds
+MAX_SHUTDOWN_DEADLINE_MS = 3_000.0  # a planned restart waits for the longest deadline, up to this
+KILL_MARGIN_MS = 700.0  # from that deadline to SIGKILL
+SIGNAL_INTERVAL_MS = 100.0  # between the signals of a planned restart
+LAST_ANSWERS_MS = 500.0  # to wait for outstanding answers after the last client has arrived
+POLL_INTERVAL_MS = 2.0
+PROCESS_CHECK_INTERVAL_MS = 250.0
+DEADLINE_FACTORS = (0.5, 2.0)  # of the configuration that is reloaded between two SIGTERMs
+EXIT_TIMEOUT_S = 20.0  # after SIGTERM or SIGKILL
 
 
 class PlayFailed(Exception):
-    """The play could not go on; the text says which party failed."""
+    """The play was aborted; the message names the party that failed."""
 
 
 class Play:
-    """A script being played, on loopback, with balancers as processes."""
+    """One run of a script on loopback, with balancers as processes."""
 
     def __init__(
         self,
@@ -58,7 +59,10 @@
         root: Path | None = None,
         env: Mapping[str, str] | None = None,
     ) -> None:
-        """`root` is another source tree to run; `env` is added to the environment of the balancers."""
+        """Prepare a run whose files go to `directory`.
+
+        Balancers run from the source tree `root`, if given, with `env` added to their environment.
+        """
         self.script = script
         self.env = env
         self.clock = Clock()
@@ -71,9 +75,9 @@
         self.relays: LinkRelays
         self.discovery: Discovery
         self.clients: Clients
-        self._seen: dict[str, float] = {}  # when the front last saw a balancer sound
-        self.max_lateness_ms = 0.0  # ms: the most that the playing process itself came late to its turn
-        self._ended: set[str] = set()  # balancers that were told to end, and not started since
+        self._last_ready: dict[str, float] = {}  # when each balancer was last seen ready, in ms of the clock
+        self.max_lateness_ms = 0.0  # by which the event loop of this process was behind
+        self._stopped: set[str] = set()  # balancers that the script has ended and not started again
         self._crowds: Crowds
 
     async def run(
@@ -83,56 +87,65 @@
         prepare: Callable[[Play], None] | None = None,
         discovery: str = "sound",
     ) -> Trace:
-        """Play it to its end. `prepare` is called when all addresses are known, before balancers start.
+        """Run the script to its end and return the trace.
 
-        Raises Failed where a balancer ends or does not start, and where a stand-in or a link dies: a story
-        with a party missing shows nothing.
+        `initial_states` are the listed states of servers that are not active at first, `discovery` is the
+        mode that discovery starts in. `prepare` is called when all addresses are known, before the balancers
+        start. Raises PlayFailed if a balancer does not start or ends by itself, or if a simulated party or a
+        relay process fails: a run without one of its parties proves nothing.
         """
         try:
             return await self._run(initial_states, prepare, discovery)
         except BaseExceptionGroup as group:
-            parts = [exc for exc in _leaves(group) if not isinstance(exc, anyio.get_cancelled_exc_class())]
-            if not all(isinstance(exc, Exception) for exc in parts):
+            errors = [
+                exc for exc in _leaf_exceptions(group) if not isinstance(exc, anyio.get_cancelled_exc_class())
+            ]
+            if not all(isinstance(exc, Exception) for exc in errors):
                 raise
-            raise PlayFailed("; ".join(sorted({f"{exc}" or type(exc).__name__ for exc in parts}))) from group
+            raise PlayFailed("; ".join(sorted({f"{exc}" or type(exc).__name__ for exc in errors}))) from group
 
     async def _run(
         self, initial_states: Mapping[str, str] | None, prepare: Callable[[Play], None] | None, discovery: str
     ) -> Trace:
         script = self.script
-        number = -(-script.balancers // BALANCERS_EACH) if script.has_links else 0
+        number = -(-script.balancers // BALANCERS_PER_RELAY) if script.has_links else 0
         async with start_relays(number) as self.relays, anyio.create_task_group() as tasks:
             self._tasks = tasks
             self._crowds = Crowds(tasks)
             self.discovery = Discovery(self.clock, self.trace, tasks, script.lag)
-            for ident, make in script.servers.items():
+            for ident, profile in script.servers.items():
                 server = LineServer(
-                    ident, make, self.clock, self.trace, random.Random(self.rng.random()), tasks
+                    ident, profile, self.clock, self.trace, random.Random(self.rng.random()), tasks
                 )
                 self.servers[ident] = server
                 server.start()
                 state = (initial_states or {}).get(ident, "active")
                 self.discovery.registry.put(
-                    ident, addr=server.address, zone=make.zone, kind=make.kind, state=state
+                    ident, addr=server.address, zone=profile.zone, kind=profile.kind, state=state
                 )
             self.discovery.become(discovery)
             for number in range(1, script.balancers + 1):
-                ports = {f"n{number}>{ident}": port_of(one.address) for ident, one in self.servers.items()}
+                ports = {
+                    f"n{number}>{ident}": port_of(line_server.address)
+                    for ident, line_server in self.servers.items()
+                }
                 if script.has_links:
                     await self.relays.add_links(number, ports)
-                told = platform_settings(script.kinds, script.balancers, number - 1)
-                told["domain"]["groups"] = script.grouped
+                settings = platform_settings(script.kinds, script.balancers, number - 1)
+                settings["domain"]["groups"] = script.grouped
                 if script.quota:
-                    told["customers"] = [
-                        {"name": f"m{one}", "share": 1.0 / TENANTS} for one in range(TENANTS)
+                    settings["customers"] = [
+                        {"name": f"m{index}", "share": 1.0 / TENANT_COUNT} for index in range(TENANT_COUNT)
                     ]
-                    told["domain"]["tenant_quota_connections"] = [script.quota / TENANTS] * TENANTS
+                    settings["domain"]["tenant_quota_connections"] = [
+                        script.quota / TENANT_COUNT
+                    ] * TENANT_COUNT
                 self.balancers.append(
                     BalancerProcess(
                         f"n{number}",
                         self.directory,
                         await self._discovery_of(number, self.relays.ports if script.has_links else ports),
-                        told,
+                        settings,
                         script.known,
                         script.operators,
                         self.root,
@@ -149,7 +162,7 @@
             try:
                 await self._play(tasks)
             finally:
-                # Guards the trace against clients that come while the balancers end: they end first.
+                # Clients end first: prevents requests in the trace that arrive while the balancers stop.
                 tasks.cancel_scope.cancel()
                 with anyio.CancelScope(shield=True):
                     await checkpoint()
@@ -158,12 +171,15 @@
         return self.trace
 
     async def _discovery_of(self, number: int, ports: Mapping[str, int]) -> str:
-        """Where a balancer asks for its own list, in which servers are at these ports by link."""
-        by = f"n{number}"
-        view = self.discovery.view(by, lambda ident: f"{HOST}:{ports[f'{by}>{ident}']}")
+        """Open the view of discovery for one balancer and return its address.
+
+        `ports` are the ports at which it lists the servers, by name of the link.
+        """
+        balancer_name = f"n{number}"
+        view = self.discovery.view(balancer_name, lambda ident: f"{HOST}:{ports[f'{balancer_name}>{ident}']}")
         if not self.script.has_links:
             return view
-        name = f"{by}>{DISCOVERY}"
+        name = f"{balancer_name}>{DISCOVERY}"
         await self.relays.add_links(number, {name: port_of(view)})
         return f"{HOST}:{ports[name]}"
 
@@ -172,14 +188,14 @@
             balancer.start()
         for balancer in self.balancers:
             await anyio.to_thread.run_sync(balancer.wait_until_listening)
-        tasks.start_soon(self._events)
-        tasks.start_soon(self._guard)
-        tasks.start_soon(self._watch_lateness)
+        tasks.start_soon(self._run_events)
+        tasks.start_soon(self._check_processes)
+        tasks.start_soon(self._measure_lateness)
         self.trace.serving_started_at = self.trace.elapsed
         self.clients = Clients(
             self.script.kinds,
             self.script.rate,
-            self._front,
+            self._choose_balancer,
             self.clock,
             self.trace,
             self.rng,
@@ -189,86 +205,99 @@
         )
         await self.clients.run(self.script.seconds * 1_000.0)
         self.trace.serving_ended_at = self.trace.elapsed
-        # Guards the sums of a report: those who have asked are answered, if that takes no longer than usual.
-        with self.clock.limit(LAST_ANSWERS):
+        # Waits for outstanding answers, so that a report does not count these requests as unanswered.
+        with self.clock.limit(LAST_ANSWERS_MS):
             while True:
-                await self.clock.sleep(LOOK_EVERY)  # the last one may not have asked yet
+                # Sleeps first, as the last client may not have sent its request yet.
+                await self.clock.sleep(POLL_INTERVAL_MS)
                 if not self.clients.awaiting_answer:
                     break
 
-    async def _guard(self) -> None:
-        """End the play where a balancer has ended that nobody told to, or a relay."""
+    async def _check_processes(self) -> None:
+        """Abort the play if a balancer or a relay process has ended by itself."""
         while True:
-            await self.clock.sleep(GUARD_EVERY)
+            await self.clock.sleep(PROCESS_CHECK_INTERVAL_MS)
             for balancer in self.balancers:
-                if not balancer.running and balancer.name not in self._ended:
+                if not balancer.running and balancer.name not in self._stopped:
                     raise PlayFailed(f"{balancer.name} ended by itself; see {balancer.log}")
             await self.relays.poll_lateness()
 
-    async def _watch_lateness(self) -> None:
-        """Notice how late the stand-ins' own loop is at most: what they saw may be later by as much."""
+    async def _measure_lateness(self) -> None:
+        """Measure how far the event loop is behind: times in the trace may be late by as much."""
         while True:
-            due = self.clock.now() + LOOK_EVERY
-            await self.clock.sleep(LOOK_EVERY)
+            due = self.clock.now() + POLL_INTERVAL_MS
+            await self.clock.sleep(POLL_INTERVAL_MS)
             self.max_lateness_ms = max(self.max_lateness_ms, self.clock.now() - due)
 
-    def _front(self) -> tuple[str, int] | None:
-        """Where the next client comes: any balancer that the front has not yet noticed to be dead."""
+    def _choose_balancer(self) -> tuple[str, int] | None:
+        """Choose the balancer for the next client, by weight; return its name and port.
+
+        A balancer stays eligible for `notice` seconds after it was last ready, as behind a front that has not
+        noticed yet that it is gone.
+        """
         now = self.clock.now()
         for balancer in self.balancers:
             if balancer.running and balancer.ready:
-                self._seen[balancer.name] = now
-        least = now - self.script.notice * 1_000.0
-        running = [one for one in self.balancers if self._seen.get(one.name, -1.0) >= least]
-        if not running:
+                self._last_ready[balancer.name] = now
+        earliest = now - self.script.notice * 1_000.0
+        eligible = [
+            candidate
+            for candidate in self.balancers
+            if self._last_ready.get(candidate.name, -1.0) >= earliest
+        ]
+        if not eligible:
             return None
-        chosen = self.rng.choices(running, [self.script.busy.get(one.name, 1.0) for one in running])[0]
+        chosen = self.rng.choices(
+            eligible, [self.script.busy.get(candidate.name, 1.0) for candidate in eligible]
+        )[0]
         return chosen.name, self.relays.ports.get(f"{CLIENTS}>{chosen.name}", chosen.port)
 
-    async def _events(self) -> None:
-        began = self.clock.now()
+    async def _run_events(self) -> None:
+        started_at = self.clock.now()
         for event in self.script.events:
-            await self.clock.sleep(began + event.at - self.clock.now())
+            await self.clock.sleep(started_at + event.at - self.clock.now())
             await self.carry_out(event)
 
     async def carry_out(self, event: Event) -> None:
-        """Make one thing happen."""
+        """Apply an event to its parties, and schedule its end if it has one."""
         if event.whom == "discovery":
             self.discovery.become(event.do)
             return
-        each = event.over / len(event.names)
+        interval = event.over / len(event.names)
         for number, name in enumerate(event.names if event.over else ()):
-            self._tasks.start_soon(self._later, event.whom, (name,), event.do, each * number)
+            self._tasks.start_soon(self._apply_after, event.whom, (name,), event.do, interval * number)
         if not event.over:
-            await self._strike(event.whom, event.names, event.do)
+            await self._apply(event.whom, event.names, event.do)
         if event.lasts:
-            self._tasks.start_soon(self._later, event.whom, event.names, ENDS[event.whom], event.lasts)
+            self._tasks.start_soon(
+                self._apply_after, event.whom, event.names, FAULT_ENDS[event.whom], event.lasts
+            )
 
-    async def _later(self, whom: str, names: tuple[str, ...], do: str, wait: float) -> None:
-        await self.clock.sleep(wait)
-        await self._strike(whom, names, do)
+    async def _apply_after(self, whom: str, names: tuple[str, ...], do: str, delay: float) -> None:
+        await self.clock.sleep(delay)
+        await self._apply(whom, names, do)
 
-    async def _strike(self, whom: str, names: tuple[str, ...], do: str) -> None:
+    async def _apply(self, whom: str, names: tuple[str, ...], do: str) -> None:
         if whom == "links":
             await self.relays.set_fault(names, do)
         for name in names:
             if whom == "server":
-                await self._server(self.servers[name], do)
+                await self._apply_to_server(self.servers[name], do)
                 continue
             self.trace.add(EventKind.FAULT, by=name, detail=do)
             if whom == "lists":
                 self.discovery.twist(name, do)
             elif whom == "balancers":
-                await self._balancer(self.balancers[int(name[1:]) - 1], do)
+                await self._apply_to_balancer(self.balancers[int(name[1:]) - 1], do)
 
-    async def _server(self, server: LineServer, do: str) -> None:
+    async def _apply_to_server(self, server: LineServer, do: str) -> None:
         match do:
             case "crash":
                 await server.crash()
             case "start" | "start cold":
                 server.start(cold=do == "start cold")
-                started = round(time.time() * 1_000.0) if do == "start cold" else 0
-                self.discovery.put(server.id, state="active", started_ms=started)
+                started_ms = round(time.time() * 1_000.0) if do == "start cold" else 0
+                self.discovery.put(server.id, state="active", started_ms=started_ms)
             case "leaving" | "left":
                 self.discovery.put(server.id, state=do)
             case "draining":
@@ -279,96 +308,98 @@
 
     def _start(self, balancer: BalancerProcess) -> None:
         balancer.start()
-        self._ended.discard(balancer.name)
-        self._tasks.start_soon(partial(anyio.to_thread.run_sync, abandon_on_cancel=True), _wait, balancer)
+        self._stopped.discard(balancer.name)
+        self._tasks.start_soon(
+            partial(anyio.to_thread.run_sync, abandon_on_cancel=True), _wait_until_listening, balancer
+        )
 
-    async def _balancer(self, balancer: BalancerProcess, do: str) -> None:
+    async def _apply_to_balancer(self, balancer: BalancerProcess, do: str) -> None:
         if do == "wake":
-            return await self._wake(balancer)
-        kind, figure = read_process_fault(do)
+            return await self._end_fault(balancer)
+        kind, count = read_process_fault(do)
         if kind not in ("reload", "freeze", "descriptors", "crowd"):
-            self._ended.add(balancer.name)
+            self._stopped.add(balancer.name)
         match kind:
             case "kill":
                 balancer.signal(signal.SIGKILL)
             case "terminate":
                 balancer.signal(signal.SIGTERM)
-            case "reload" if balancer.ready:  # the platform reloads none that is not ready yet
+            case "reload" if balancer.ready:  # the platform does not reload a balancer that is not ready yet
                 balancer.signal(signal.SIGHUP)
             case "freeze":
                 balancer.signal(signal.SIGSTOP)
             case "descriptors" if balancer.running:
-                _, most = resource.prlimit(balancer.pid, resource.RLIMIT_NOFILE)
-                resource.prlimit(balancer.pid, resource.RLIMIT_NOFILE, (figure, most))
+                _, hard_limit = resource.prlimit(balancer.pid, resource.RLIMIT_NOFILE)
+                resource.prlimit(balancer.pid, resource.RLIMIT_NOFILE, (count, hard_limit))
             case "crowd":
-                self._crowds.start(balancer.name, balancer.port, figure)
+                self._crowds.start(balancer.name, balancer.port, count)
             case "end":
-                await self._end(balancer)
+                await self._planned_restart(balancer)
             case "restart" | "roll" | "stall":
                 balancer.signal(signal.SIGTERM if kind == "roll" else signal.SIGKILL)
                 balancer.ready = False
-                with self.clock.limit(END_WITHIN * 1_000.0):
+                with self.clock.limit(EXIT_TIMEOUT_S * 1_000.0):
                     while balancer.running:
                         await self.clock.sleep(5.0)
-                balancer.signal(signal.SIGKILL)  # guards the play against one that does not end
+                balancer.signal(signal.SIGKILL)  # in case it did not end in time
                 self._start(balancer)
                 if kind == "stall":
                     balancer.signal(signal.SIGSTOP)
 
-    async def _end(self, balancer: BalancerProcess) -> None:
-        """A planned restart by signals in series, with the kill as early as the page allows.
+    async def _planned_restart(self, balancer: BalancerProcess) -> None:
+        """Send SIGTERM, SIGHUP and SIGTERM, kill the balancer as early as the platform may, and restart it.
 
-        Where clients hold connections until then, the SIGHUP carries a configuration with other deadlines.
+        If clients hold connections until the kill, the SIGHUP comes with changed deadlines.
         """
-        longest = max(kind.give_up for kind in self.script.kinds)
-        kill_at = self.clock.now() + min(LONGEST_DEADLINE, longest) + KILL_SPARE
+        longest_deadline = max(kind.give_up for kind in self.script.kinds)
+        kill_at = self.clock.now() + min(MAX_SHUTDOWN_DEADLINE_MS, longest_deadline) + KILL_MARGIN_MS
         if self.script.holding:
             rng = random.Random(f"{self.script.seed}/{balancer.name}")
             hold_connections(self.clients, balancer, kill_at, self.script.holding, self.clock, rng)
         for signum in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
             balancer.ready = False
             if signum == signal.SIGHUP and self.script.holding:
-                balancer.write_settings(_with_deadlines(balancer.settings, rng.choice(OTHER_DEADLINES)))
+                balancer.write_settings(_scale_deadlines(balancer.settings, rng.choice(DEADLINE_FACTORS)))
             balancer.signal(signum)
-            await self.clock.sleep(SERIES)
+            await self.clock.sleep(SIGNAL_INTERVAL_MS)
         while balancer.running and self.clock.now() < kill_at:
-            await self.clock.sleep(LOOK_EVERY)
+            await self.clock.sleep(POLL_INTERVAL_MS)
         if balancer.running:
             self.trace.add(EventKind.FAULT, by=balancer.name, detail=KILLED)
         balancer.signal(signal.SIGKILL)
         balancer.write_settings(balancer.settings)
         self._start(balancer)
 
-    async def _wake(self, balancer: BalancerProcess) -> None:
-        """Its fault is over, whatever it was."""
+    async def _end_fault(self, balancer: BalancerProcess) -> None:
+        """End the fault of a balancer, of any kind."""
         self._crowds.stop(balancer.name)
         balancer.signal(signal.SIGCONT)
-        if not balancer.running:  # it was killed and not started since
+        if not balancer.running:  # killed, and not started again yet
             self._start(balancer)
             return
-        _, most = resource.prlimit(balancer.pid, resource.RLIMIT_NOFILE)
-        resource.prlimit(balancer.pid, resource.RLIMIT_NOFILE, (most, most))
+        _, hard_limit = resource.prlimit(balancer.pid, resource.RLIMIT_NOFILE)
+        resource.prlimit(balancer.pid, resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
 
 
-def _with_deadlines(settings: Mapping[str, Any], times: float) -> dict[str, Any]:
-    """The same settings, but for deadlines that are so many times as long."""
-    classes = [{**cls, "give_up": cls["give_up"] * times} for cls in settings["classes"]]
+def _scale_deadlines(settings: Mapping[str, Any], factor: float) -> dict[str, Any]:
+    """Copy settings with each class's deadline multiplied by `factor`."""
+    classes = [{**cls, "give_up": cls["give_up"] * factor} for cls in settings["classes"]]
     return {**settings, "classes": classes}
 
 
 def port_of(address: str) -> int:
-    """The port of HOST:PORT."""
+    """Return the port of an address HOST:PORT."""
     return int(address.rpartition(":")[2])
 
 
-def _leaves(group: BaseExceptionGroup[BaseException]) -> Iterator[BaseException]:
+def _leaf_exceptions(group: BaseExceptionGroup[BaseException]) -> Iterator[BaseException]:
     for exc in group.exceptions:
         if isinstance(exc, BaseExceptionGroup):
-            yield from _leaves(exc)
+            yield from _leaf_exceptions(exc)
         else:
             yield exc
 
 
-def _wait(balancer: BalancerProcess) -> None:
-    with contextlib.suppress(TimeoutError):  # guards a play against a start that never gets ready
+def _wait_until_listening(balancer: BalancerProcess) -> None:
+    with contextlib.suppress(TimeoutError):  # a start that never becomes ready does not end the play
         balancer.wait_until_listening(60.0)
--- a/puffinford/stage/relays.py
+++ b/puffinford/stage/relays.py
@@ -1,6 +1,6 @@
-"""Links in processes of their own, so that thousands of them do not hold up the play.
+"""Links in separate relay processes, so that thousands of them do not slow down the playing process.
 
-Each relay process holds a share of the links. It is told what to do in lines of JSON on its standard input,
+Each relay process holds a share of the links. It reads commands as lines of JSON from its standard input,
 answers each in one line, and ends when that input does:
 
     {"make": [[NAME, PORT], ...]}             ->  {"ports": [PORT, ...]}
@@ -29,12 +29,12 @@
 from puffinford.stage.links import Link
 from puffinford.standins.listeners import HOST
 
-LINE_MOST = 1 << 24  # bytes of one command: the links of hundreds of balancers
-END_WITHIN = 2.0  # seconds
+MAX_ANSWER_BYTES = 1 << 24  # of one command: the links of hundreds of balancers
+EXIT_TIMEOUT_S = 2.0
 
 
 class RelayEnded(Exception):
-    """A relay process is gone, and its links with it."""
+    """A relay process has ended or reported an error, so its links are unusable."""
 
 
 class _Relay:
@@ -42,15 +42,15 @@
         assert process.stdin is not None and process.stdout is not None
         self._number = number
         self._process = process
-        self._send = process.stdin
-        self._take = BufferedByteReceiveStream(process.stdout)
-        self._one = anyio.Lock()  # guards answers against being taken by another question
+        self._stdin = process.stdin
+        self._stdout = BufferedByteReceiveStream(process.stdout)
+        self._lock = anyio.Lock()  # one command at a time, so that each gets its own answer
 
-    async def ask(self, told: dict[str, Any]) -> dict[str, Any]:
-        async with self._one:
+    async def ask(self, command: dict[str, Any]) -> dict[str, Any]:
+        async with self._lock:
             try:
-                await self._send.send(json.dumps(told).encode() + b"\n")
-                answer = json.loads(await self._take.receive_until(b"\n", LINE_MOST))
+                await self._stdin.send(json.dumps(command).encode() + b"\n")
+                answer = json.loads(await self._stdout.receive_until(b"\n", MAX_ANSWER_BYTES))
             except (anyio.BrokenResourceError, anyio.IncompleteRead, anyio.EndOfStream, OSError) as exc:
                 raise RelayEnded(f"relay {self._number} ended: {type(exc).__name__}") from None
         if "error" in answer:
@@ -59,51 +59,49 @@
 
 
 class LinkRelays:
-    """Some relay processes with their links. Made by `start_relays`."""
+    """The relay processes with their links. Created by `start_relays`."""
 
-    def __init__(self, parts: Sequence[_Relay]) -> None:
-        self._parts = parts
-        self._holder: dict[str, _Relay] = {}
-        self.ports: dict[str, int] = {}  # to connect to, on HOST, by the link's name
-        self.max_lateness_ms = (
-            0.0  # ms: the most that a piece was passed on after it was due, as far as it was told
-        )
+    def __init__(self, processes: Sequence[_Relay]) -> None:
+        self._processes = processes
+        self._relay_of_link: dict[str, _Relay] = {}
+        self.ports: dict[str, int] = {}  # to connect to, on HOST, by name of the link
+        self.max_lateness_ms = 0.0  # by which a chunk was forwarded after it was due, as last polled
 
     async def add_links(self, number: int, links: Mapping[str, int]) -> None:
-        """Make links, by name with the ports that they lead to, in the relay process of this number."""
-        relay = self._parts[number % len(self._parts)]
+        """Open links in the relay process of this number; `links` maps names to the ports they lead to."""
+        relay = self._processes[number % len(self._processes)]
         answer = await relay.ask({"make": list(links.items())})
         for name, port in zip(links, answer["ports"], strict=True):
             self.ports[name] = port
-            self._holder[name] = relay
+            self._relay_of_link[name] = relay
 
     async def set_fault(self, names: Sequence[str], do: str) -> None:
-        """Change what these links do; each relay is told once."""
-        for relay in self._parts:
-            mine = [name for name in names if self._holder[name] is relay]
-            if mine:
-                await relay.ask({"become": mine, "do": do})
+        """Set the fault of these links, with one command to each relay process."""
+        for relay in self._processes:
+            own = [name for name in names if self._relay_of_link[name] is relay]
+            if own:
+                await relay.ask({"become": own, "do": do})
 
     async def poll_lateness(self) -> None:
-        """Ask all of them how late they were; raises RelayEnded where one is gone."""
-        for relay in self._parts:
-            told = await relay.ask({"tell": True})
-            self.max_lateness_ms = max(self.max_lateness_ms, told["lateness"])
+        """Update `max_lateness_ms` from all relay processes; raises RelayEnded if one has ended."""
+        for relay in self._processes:
+            report = await relay.ask({"tell": True})
+            self.max_lateness_ms = max(self.max_lateness_ms, report["lateness"])
 
 
 @asynccontextmanager
 async def start_relays(count: int) -> AsyncIterator[LinkRelays]:
-    """So many relay processes, ended with the block."""
+    """Start `count` relay processes, and end them when the block is left."""
     async with contextlib.AsyncExitStack() as stack:
-        processes, parts = [], []
+        processes, handles = [], []
         for number in range(count):
-            words = [sys.executable, "-m", "puffinford.stage.relays"]
+            command = [sys.executable, "-m", "puffinford.stage.relays"]
             env = {"PATH": os.environ.get("PATH", ""), "PYTHONPATH": os.pathsep.join(filter(None, sys.path))}
-            process = await anyio.open_process(words, stderr=None, stdin=subprocess.PIPE, env=env)
+            process = await anyio.open_process(command, stderr=None, stdin=subprocess.PIPE, env=env)
             processes.append(process)
             stack.push_async_callback(_end, process)
-            parts.append(_Relay(number + 1, process))
-        yield LinkRelays(parts)
+            handles.append(_Relay(number + 1, process))
+        yield LinkRelays(handles)
 
 
 async def _end(process: anyio.abc.Process) -> None:
@@ -111,7 +109,7 @@
         if process.stdin is not None:
             with contextlib.suppress(anyio.BrokenResourceError, OSError):
                 await process.stdin.aclose()
-        with anyio.move_on_after(END_WITHIN):
+        with anyio.move_on_after(EXIT_TIMEOUT_S):
             await process.wait()
         if process.returncode is None:
             process.kill()
@@ -119,23 +117,23 @@
 
 
 async def _serve() -> None:
-    """One relay process."""
-    _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
+    """Run one relay process: carry out the commands of standard input until it ends."""
+    _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
     links: dict[str, Link] = {}
     clock = Clock()
     async with anyio.create_task_group() as tasks:
 
-        async def carry_out(told: dict[str, Any]) -> dict[str, Any]:
-            if "make" in told:
-                made = []
-                for name, port in told["make"]:
+        async def carry_out(command: dict[str, Any]) -> dict[str, Any]:
+            if "make" in command:
+                opened_ports = []
+                for name, port in command["make"]:
                     links[name] = Link(name, (HOST, port), clock, tasks)
-                    made.append(links[name].port)
-                return {"ports": made}
-            if "become" in told:
-                fault = read_fault(told["do"])
-                for name in told["become"]:
+                    opened_ports.append(links[name].port)
+                return {"ports": opened_ports}
+            if "become" in command:
+                fault = read_fault(command["do"])
+                for name in command["become"]:
                     await links[name].set_fault(fault)
                 return {}
             return {
--- a/puffinford/stage/script.py
+++ b/puffinford/stage/script.py
@@ -1,19 +1,19 @@
-"""What is played: a script, read from YAML or a mapping and checked whole. Nothing is started here.
+"""Scripts of plays: read from YAML or a mapping, and validated completely. Nothing is started here.
 
     seed: 7
     seconds: 10
     balancers: 1                   # n1, n2 and so on
-    zones: 1                       # z1, z2 and so on; balancers and servers stand in them in turn
-    rate: 20                       # openings a second
-    quota: 1200                    # connections that all tenants together are granted; 0: none is told
-    grouped: true                  # whether connections of a group share work, as the balancers are told
-    busy: {"n1": 5, "n*": {part: 0.1, times: 3}}   # balancers that get so many times the others' part
-    notice: 0                      # seconds for which the front goes on sending clients to a dead balancer
-    patience: 0                    # ms for which clients listen past their time
-    rests: 0                       # part of the clients that rest on their connection before they ask
-    holding: 0                     # clients of each kind that hold a connection to one that is told to `end`
-    channels: false                # whether balancers have the channel front too
-    sockets: 4096                  # descriptors that a balancer may hold
+    zones: 1                       # z1, z2 and so on; assigned to balancers and servers in rotation
+    rate: 20                       # requests a second
+    quota: 1200                    # connections granted to all tenants together; 0: no quota
+    grouped: true                  # whether balancers are configured to share work within a group
+    busy: {"n1": 5, "n*": {part: 0.1, times: 3}}   # balancers that get a multiple of the others' clients
+    notice: 0                      # seconds for which the front still sends clients to a dead balancer
+    patience: 0                    # ms for which clients wait for an answer past their deadline
+    rests: 0                       # fraction of the clients that connect some time before their request
+    holding: 0                     # clients of each kind that hold a connection to a balancer that does `end`
+    channels: false                # whether balancers also have the channel front
+    sockets: 4096                  # limit of descriptors of a balancer
     classes:                       # see `clients.ClientClass`
       price-lookup: {share: 52, aim: 500, give_up: 2000, life: 4000}
     servers:                       # see `servers.ServerProfile`; `count` makes NAME-1, NAME-2, ...
@@ -26,14 +26,15 @@
       - {at: 3, discovery: unavailable}
       - {at: 4, balancer: 1, do: restart}
       - {at: 4, balancers: "n*", part: 0.2, do: freeze, for: 4}     # see `stage.faults`
-      - {at: 4, balancers: "n*", do: restart, over: 10}             # one after the other within 10 s
+      - {at: 4, balancers: "n*", do: restart, over: 10}             # in sequence, within 10 s
       - {at: 4, links: "n* > gw-*", part: 0.5, do: hold back, for: 6}
       - {at: 4, links: "clients > n1", do: delay 300}               # without `for`: to the end
       - {at: 4, links: "n* > discovery", part: 0.5, do: hold back, for: 6}
       - {at: 4, lists: "n*", part: 0.3, do: late 800}               # see `discovery.TWISTS`
 
-`part` is that of the balancers, or of the servers where servers are named. Where links fail, every way from
-clients to a balancer, and from a balancer to a server and to discovery, is a link.
+`part` is the fraction of the named balancers, or servers, that the event affects. If the script has events of
+links or lists, all connections from clients to balancers, and from balancers to servers and discovery, pass
+through links.
 """
 
 from __future__ import annotations
@@ -53,35 +54,49 @@
 from puffinford.standins.discovery import MODES, parse_twist
 from puffinford.standins.servers import STATES, ServerProfile
 
-CLIENTS = "clients"  # as a party of links
-DISCOVERY = "discovery"  # as a party of links
-WHOLE = ("balancers", "zones", "seed", "holding", "sockets")  # figures that are whole numbers
-FIGURES = (*WHOLE, "seconds", "rate", "quota", "notice", "patience", "rests")
-NAMES = {*FIGURES, "channels", "grouped", "busy", "operators", "discovery", "classes", "servers", "events"}
-EVENT_NAMES = {"at", "whom", "do", "for", "part", "over"}
-WHOM = ("discovery", "server", "servers", "balancer", "balancers", "links", "lists")
-SERVER_DOES = (*STATES, "crash", "start", "start cold", "leaving", "left")
+CLIENTS = "clients"  # name of the clients as a party of links
+DISCOVERY = "discovery"  # name of discovery as a party of links
+INTEGER_KEYS = ("balancers", "zones", "seed", "holding", "sockets")
+NUMBER_KEYS = (*INTEGER_KEYS, "seconds", "rate", "quota", "notice", "patience", "rests")
+SCRIPT_KEYS = {
+    *NUMBER_KEYS,
+    "channels",
+    "grouped",
+    "busy",
+    "operators",
+    "discovery",
+    "classes",
+    "servers",
+    "events",
+}
+EVENT_KEYS = {"at", "whom", "do", "for", "part", "over"}
+EVENT_TARGETS = ("discovery", "server", "servers", "balancer", "balancers", "links", "lists")
+SERVER_ACTIONS = (*STATES, "crash", "start", "start cold", "leaving", "left")
 
 
 class InvalidScript(Exception):
-    """The script cannot be played; the text names the place."""
+    """A script that cannot be played; the message names the entry."""
 
 
 @dataclass(frozen=True)
 class Event:
-    """One thing that happens, in ms from the first arrival."""
+    """One event of a script; its time `at` is in ms from the start of serving."""
 
     at: float
     whom: str  # server, discovery, balancers, links or lists
     do: str
-    names: tuple[str, ...] = ()  # of the servers, balancers or links that it strikes
+    names: tuple[str, ...] = ()  # of the servers, balancers or links that it affects
     lasts: float = 0.0  # ms; 0: to the end
-    over: float = 0.0  # ms in which it strikes them, one after the other
+    over: float = 0.0  # ms; it affects them in sequence within this time
 
 
 @dataclass
 class Script:
-    """What is played. `known` is the list in the balancers' configuration."""
+    """A script; the head of this module describes its keys.
+
+    `lag` is the delay of discovery in ms, `operators` the text of the balancers' settings file, and `known`
+    the server list in their configuration.
+    """
 
     seed: int = 1
     seconds: float = 10.0
@@ -106,68 +121,68 @@
 
     @property
     def has_links(self) -> bool:
-        """Whether links can fail in it: then every way goes through one."""
+        """Whether an event needs links: then all traffic passes through them."""
         return any(event.whom in ("links", "lists") for event in self.events)
 
     @property
     def balancer_zones(self) -> dict[str, str]:
-        """The balancers with their zones."""
-        return {f"n{one}": self.zone(one - 1) for one in range(1, int(self.balancers) + 1)}
+        """The zone of each balancer, by name."""
+        return {f"n{number}": self.zone(number - 1) for number in range(1, int(self.balancers) + 1)}
 
     def zone(self, number: int) -> str:
-        """The zone of the party with that number, counted from 0; empty where there is but one."""
+        """Return the zone of a party by its number, from 0; empty if there is only one zone."""
         return f"z{number % int(self.zones) + 1}" if self.zones > 1 else ""
 
 
 def read_script(source: Path | Mapping[str, Any], **changes: Any) -> Script:
-    """A script from a YAML file or a mapping; raises BadScript or OSError.
+    """Read a script from a YAML file or a mapping; raises InvalidScript or OSError.
 
-    `changes` are figures of the script that hold in place of what it says, such as `balancers`.
+    `changes` override keys of the script, such as `balancers`.
     """
-    told: Any = source
+    document: Any = source
     if isinstance(source, Path):
         try:
-            told = yaml.safe_load(source.read_text(encoding="utf-8"))
+            document = yaml.safe_load(source.read_text(encoding="utf-8"))
         except (yaml.YAMLError, UnicodeDecodeError) as exc:
             raise InvalidScript(f"{source}: {exc}") from None
-    if not isinstance(told, Mapping):
+    if not isinstance(document, Mapping):
         raise InvalidScript("not a mapping")
-    told = {**told, **changes}
-    unknown = {str(name) for name in told} - NAMES
+    document = {**document, **changes}
+    unknown = {str(name) for name in document} - SCRIPT_KEYS
     if unknown:
         raise InvalidScript(f"unknown: {' '.join(sorted(unknown))}")
-    made = Script()
-    for name in FIGURES:
-        setattr(made, name, _figure(name, told.get(name, getattr(made, name))))
-    for name in WHOLE:
-        if getattr(made, name) != int(getattr(made, name)):
-            raise InvalidScript(f"{name}: no whole number")
-        setattr(made, name, int(getattr(made, name)))
-    made.zones = max(1, made.zones)
-    made.grouped = bool(told.get("grouped", True))
-    made.channels = bool(told.get("channels", False))
-    made.operators = str(told.get("operators", ""))
-    made.lag = _figure("discovery.lag", _mapping("discovery", told.get("discovery")).get("lag", 0.0))
-    classes = _mapping("classes", told.get("classes"))
+    script = Script()
+    for name in NUMBER_KEYS:
+        setattr(script, name, _number(name, document.get(name, getattr(script, name))))
+    for name in INTEGER_KEYS:
+        if getattr(script, name) != int(getattr(script, name)):
+            raise InvalidScript(f"{name}: not a whole number")
+        setattr(script, name, int(getattr(script, name)))
+    script.zones = max(1, script.zones)
+    script.grouped = bool(document.get("grouped", True))
+    script.channels = bool(document.get("channels", False))
+    script.operators = str(document.get("operators", ""))
+    script.lag = _number("discovery.lag", _mapping("discovery", document.get("discovery")).get("lag", 0.0))
+    classes = _mapping("classes", document.get("classes"))
     if classes:
-        made.kinds = [
-            _made(ClientClass, f"classes.{name}", entry, name=name) for name, entry in classes.items()
+        script.kinds = [
+            _build(ClientClass, f"classes.{name}", entry, name=name) for name, entry in classes.items()
         ]
-    _read_servers(_mapping("servers", told.get("servers")), made)
-    for name, value in _mapping("busy", told.get("busy")).items():
-        _read_busy(f"busy.{name}", str(name), value, made)
-    events = told.get("events") or []
+    _read_servers(_mapping("servers", document.get("servers")), script)
+    for name, value in _mapping("busy", document.get("busy")).items():
+        _read_busy(f"busy.{name}", str(name), value, script)
+    events = document.get("events") or []
     if not isinstance(events, list):
-        raise InvalidScript("events: no list")
+        raise InvalidScript("events: not a list")
     for number, entry in enumerate(events, 1):
-        made.events.append(_event(f"events, entry {number}", entry, made, number))
-    made.events.sort(key=lambda event: event.at)
-    return made
+        script.events.append(_read_event(f"events, entry {number}", entry, script, number))
+    script.events.sort(key=lambda event: event.at)
+    return script
 
 
-def _figure(where: str, value: object) -> float:
+def _number(where: str, value: object) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < math.inf:
-        raise InvalidScript(f"{where} {value!r} is no number of 0 or more")
+        raise InvalidScript(f"{where} {value!r} is not a number of 0 or more")
     return value
 
 
@@ -179,38 +194,38 @@
     return value
 
 
-def _made(kind: type[Any], where: str, told: object, **more: object) -> Any:
-    names = {entry.name: entry.default for entry in fields(kind)}
-    entry = _mapping(where, told)
-    if not set(entry) <= set(names):
-        raise InvalidScript(f"{where}: not a mapping of {' '.join(sorted(names))}")
+def _build(kind: type[Any], where: str, source: object, **more: object) -> Any:
+    defaults = {entry.name: entry.default for entry in fields(kind)}
+    entry = _mapping(where, source)
+    if not set(entry) <= set(defaults):
+        raise InvalidScript(f"{where}: not a mapping of {' '.join(sorted(defaults))}")
     for name, value in entry.items():
-        if isinstance(names[name], int | float):
-            _figure(f"{where}.{name}", value)
+        if isinstance(defaults[name], int | float):
+            _number(f"{where}.{name}", value)
     try:
         return kind(**{**entry, **more})
     except TypeError as exc:
         raise InvalidScript(f"{where}: {exc}") from None
 
 
-def _read_servers(told: Mapping[str, Any], script: Script) -> None:
-    for name, entry in told.items():
+def _read_servers(entries: Mapping[str, Any], script: Script) -> None:
+    for name, entry in entries.items():
         entry = dict(_mapping(f"servers.{name}", entry))
-        count = int(_figure(f"servers.{name}.count", entry.pop("count", 1)))
+        count = int(_number(f"servers.{name}.count", entry.pop("count", 1)))
         for number in range(1, count + 1):
             ident = f"{name}-{number}" if count > 1 else str(name)
             zone = script.zone(len(script.servers))
-            script.servers[ident] = _made(ServerProfile, f"servers.{name}", {"zone": zone, **entry})
+            script.servers[ident] = _build(ServerProfile, f"servers.{name}", {"zone": zone, **entry})
 
 
-def _read_busy(where: str, pattern: str, told: Any, script: Script) -> None:
-    entry = told if isinstance(told, Mapping) else {"times": told}
+def _read_busy(where: str, pattern: str, source: Any, script: Script) -> None:
+    entry = source if isinstance(source, Mapping) else {"times": source}
     if not {"times"} <= set(entry) <= {"times", "part"}:
         raise InvalidScript(f"{where}: not a mapping of part times")
-    times = _figure(f"{where}: times", entry["times"])
-    part = _figure(f"{where}: part", entry.get("part", 1.0))
+    times = _number(f"{where}: times", entry["times"])
+    part = _number(f"{where}: part", entry.get("part", 1.0))
     if not times:
-        raise InvalidScript(f"{where}: times is not over 0")
+        raise InvalidScript(f"{where}: times must be over 0")
     try:
         for name in select_parties(
             pattern, script.balancer_zones, part, random.Random(f"{script.seed}/{where}")
@@ -220,57 +235,61 @@
         raise InvalidScript(f"{where}: {exc}") from None
 
 
-def _event(where: str, entry: Any, script: Script, number: int) -> Event:
-    """An event; whom it strikes is drawn now, the same ones each time the script is played."""
+def _read_event(where: str, entry: Any, script: Script, number: int) -> Event:
+    """Read an event. The parties it affects are drawn here, the same in each run of the script."""
     if not isinstance(entry, Mapping):
         raise InvalidScript(f"{where}: not a mapping")
-    whom = [name for name in WHOM if name in entry]
-    if len(whom) != 1:
-        raise InvalidScript(f"{where}: needs one of {' '.join(WHOM)}")
-    unknown = {str(name) for name in entry} - EVENT_NAMES - {whom[0]}
+    targets = [name for name in EVENT_TARGETS if name in entry]
+    if len(targets) != 1:
+        raise InvalidScript(f"{where}: needs one of {' '.join(EVENT_TARGETS)}")
+    unknown = {str(name) for name in entry} - EVENT_KEYS - {targets[0]}
     if unknown:
         raise InvalidScript(f"{where}: unknown: {' '.join(sorted(unknown))}")
     if "at" not in entry:
-        raise InvalidScript(f"{where}: no `at` in seconds")
-    at, lasts, over = (_figure(f"{where}: {name}", entry.get(name, 0.0)) for name in ("at", "for", "over"))
-    part = _figure(f"{where}: part", entry.get("part", 1.0))
-    do, named = str(entry.get("do")), entry[whom[0]]
+        raise InvalidScript(f"{where}: missing `at` (seconds)")
+    at, lasts, over = (_number(f"{where}: {name}", entry.get(name, 0.0)) for name in ("at", "for", "over"))
+    part = _number(f"{where}: part", entry.get("part", 1.0))
+    do, pattern = str(entry.get("do")), entry[targets[0]]
     rng = random.Random(f"{script.seed}/{number}")
-    kind = {"server": "server", "servers": "server", "balancer": "balancers"}.get(whom[0], whom[0])
+    kind = {"server": "server", "servers": "server", "balancer": "balancers"}.get(targets[0], targets[0])
     names: list[str] = []
     try:
-        match whom[0]:
+        match targets[0]:
             case "discovery":
-                if named not in MODES:
-                    raise InvalidFault(f"discovery {named!r} is none of {' '.join(MODES)}")
-                do = named
+                if pattern not in MODES:
+                    raise InvalidFault(f"discovery {pattern!r} is none of {' '.join(MODES)}")
+                do = pattern
             case "server" | "servers":
-                if do not in SERVER_DOES:
+                if do not in SERVER_ACTIONS:
                     raise InvalidFault(f"a server cannot {do!r}")
-                servers = {ident: make.zone for ident, make in script.servers.items()}
-                names = select_parties(named, servers, part, rng)
+                servers = {ident: profile.zone for ident, profile in script.servers.items()}
+                names = select_parties(pattern, servers, part, rng)
             case "balancer" | "balancers":
                 read_process_fault(do)
                 names = select_parties(
-                    f"n{named}" if whom[0] == "balancer" else named, script.balancer_zones, part, rng
+                    f"n{pattern}" if targets[0] == "balancer" else pattern, script.balancer_zones, part, rng
                 )
             case "lists":
                 parse_twist(do)
-                names = select_parties(named, script.balancer_zones, part, rng)
+                names = select_parties(pattern, script.balancer_zones, part, rng)
             case "links":
                 read_fault(do)
-                names = _links(named, script, part, rng)
+                names = _select_links(pattern, script, part, rng)
     except ValueError as exc:
         raise InvalidScript(f"{where}: {exc}") from None
     return Event(at * 1_000.0, kind, do, tuple(names), lasts * 1_000.0, over * 1_000.0)
 
 
-def _links(pattern: object, script: Script, part: float, rng: random.Random) -> list[str]:
-    near, sign, far = (piece.strip() for piece in str(pattern).partition(">"))
-    if not sign:
-        raise InvalidFault(f"{pattern!r} is no A > B")
+def _select_links(pattern: object, script: Script, part: float, rng: random.Random) -> list[str]:
+    near, separator, far = (piece.strip() for piece in str(pattern).partition(">"))
+    if not separator:
+        raise InvalidFault(f"{pattern!r} is not of the form A > B")
     if near == CLIENTS:
-        return [f"{CLIENTS}>{one}" for one in select_parties(far, script.balancer_zones, part, rng)]
-    servers = {ident: make.zone for ident, make in script.servers.items()}
+        return [f"{CLIENTS}>{balancer}" for balancer in select_parties(far, script.balancer_zones, part, rng)]
+    servers = {ident: profile.zone for ident, profile in script.servers.items()}
     ends = [DISCOVERY] if far == DISCOVERY else select_parties(far, servers, 1.0, rng)
-    return [f"{one}>{end}" for one in select_parties(near, script.balancer_zones, part, rng) for end in ends]
+    return [
+        f"{balancer}>{end}"
+        for balancer in select_parties(near, script.balancer_zones, part, rng)
+        for end in ends
+    ]
--- a/puffinford/stage/soak.py
+++ b/puffinford/stage/soak.py
@@ -1,7 +1,7 @@
-"""Soak: many short stories drawn from seeds, and the rules that each has to keep. Nothing is played here.
+"""Soak tests: random short scripts generated from seeds, and the rules that their plays have to keep.
 
-A seed draws the size of the fleet, the classes with their effects, deadlines and windows, faults of servers
-and discovery, and when balancers are told to end: by signals in series, with the kill as early as allowed.
+A seed determines the size of the fleet, the classes with their effects, deadlines and windows, faults of
+servers and discovery, and planned restarts of balancers. Nothing is started here.
 """
 
 from __future__ import annotations
@@ -14,74 +14,78 @@
 from puffinford.standins.trace import CROWD_ARRIVES as CROWD_FAULT
 from puffinford.standins.trace import FAULT_OVER, KILLED, EventKind, Trace, TraceEvent
 
-SECONDS = 9.0  # of a story
-BALANCERS = 30  # at most
-PER_BALANCER = 6.0  # openings a second, and no fewer than ...
-RATE_LEAST = 30.0  # ... so many in all, ...
-RATE_MOST = 60.0  # ... and no more
-BURST = 2.0  # times the rate in stories with a burst
-CROWDED_SOCKETS = (256, 768)  # descriptors of a balancer that a crowd comes to: at least, at most
-CROWD_ARRIVES = 1.5  # idle clients that come at once, for each of these
-EACH_SOCKETS = 6  # of these for each client that stands: clients hold a third, each with its server's
+DURATION_S = 9.0  # of each script
+MAX_BALANCERS = 30
+REQUESTS_PER_BALANCER_PER_S = 6.0
+MIN_REQUESTS_PER_S = 30.0
+MAX_REQUESTS_PER_S = 60.0
+BURST_FACTOR = 2.0  # of the rate, in scripts with a burst
+CROWDED_DESCRIPTORS = (256, 768)  # lowest and highest limit of a balancer that gets a crowd of idle clients
+CROWD_PER_DESCRIPTOR = 1.5  # idle clients that connect at once
+DESCRIPTORS_PER_CLIENT = 6  # a third serves clients, with one connection to a server for each
 EFFECTS = ("idempotent", "at_most_once", "deduplicated")
-LATE_MOST = 100.0  # ms; with a loop later than this, clients that ran out of time say nothing
-GRACE = 3_000.0  # ms after which nothing new goes to a server that drains, as the settings tell it
-CARRIES = 40.0  # connections that a server is told to carry
+MAX_LATENESS_MS = 100.0  # of the event loop, up to which requests without an answer in time are violations
+DRAIN_GRACE_MS = 3_000.0  # after which no new connection goes to a draining server, as configured
+WARM_CAPACITY = 40.0  # connections, as configured for each server
 SERVER_FAULTS = ("silent", "resetting", "failing", "busy", "slow", "crash", "dropping")
 LIST_FAULTS = ("unavailable", "hung", "late", "reset", "absent")
 
 
-def generate_script(seed: int, most: int = BALANCERS) -> Script:
-    """The story of a seed, with `most` balancers at most."""
+def generate_script(seed: int, max_balancers: int = MAX_BALANCERS) -> Script:
+    """Generate the script of a seed, with up to `max_balancers` balancers."""
     rng = random.Random(f"soak/{seed}")
-    balancers = rng.choice([number for number in (1, 2, 3, 5, 8, 13, 20, 30) if number <= max(1, most)])
+    balancers = rng.choice(
+        [number for number in (1, 2, 3, 5, 8, 13, 20, 30) if number <= max(1, max_balancers)]
+    )
     servers = rng.randint(3, 8)
-    rate = min(RATE_MOST, max(RATE_LEAST, PER_BALANCER * balancers)) * rng.choice([1.0, 1.0, BURST])
-    told: dict[str, Any] = {
+    rate = min(
+        MAX_REQUESTS_PER_S, max(MIN_REQUESTS_PER_S, REQUESTS_PER_BALANCER_PER_S * balancers)
+    ) * rng.choice([1.0, 1.0, BURST_FACTOR])
+    entries: dict[str, Any] = {
         "seed": seed,
-        "seconds": SECONDS,
+        "seconds": DURATION_S,
         "balancers": balancers,
         "rate": rate,
         "notice": 0.3,
         "patience": 500,
         "rests": rng.choice([0.0, 0.1, 0.3]),
-        "quota": servers * CARRIES / 2.0,
-        "classes": {f"class-{n}": _class(rng) for n in range(rng.randint(1, 3))},
+        "quota": servers * WARM_CAPACITY / 2.0,
+        "classes": {f"class-{n}": _random_class(rng) for n in range(rng.randint(1, 3))},
         "servers": {"gw": {"count": servers, "capacity": 400}},
         "discovery": {"lag": rng.choice([0, 200, 900])},
-        "events": [*_ends(rng, balancers), *_server_events(rng, servers), *_list_events(rng)],
+        "events": [*_process_events(rng, balancers), *_server_events(rng, servers), *_list_events(rng)],
     }
-    _draw_held(random.Random(f"soak/{seed}/held"), told)
-    return read_script(told)
+    _add_held_connections(random.Random(f"soak/{seed}/held"), entries)
+    return read_script(entries)
 
 
-def _draw_held(rng: random.Random, told: dict[str, Any]) -> None:
-    """Draw clients that hold connections until a balancer ends, and a crowd at those that do.
+def _add_held_connections(rng: random.Random, entries: dict[str, Any]) -> None:
+    """Add clients that hold connections until a balancer shuts down, and perhaps a crowd of idle clients.
 
-    Drawn apart from all else, so that the stories of older seeds stay as they were otherwise.
+    These have a random generator of their own, so that the rest of a seed's script does not depend on them.
     """
-    told["holding"] = rng.choice([1, 2])
-    told["channels"] = rng.random() < 0.5
+    entries["holding"] = rng.choice([1, 2])
+    entries["channels"] = rng.random() < 0.5
     crowded = rng.random() < 0.4
-    least, most = CROWDED_SOCKETS
-    sockets = max(least, round(EACH_SOCKETS * _standing(told)))
-    if crowded and sockets <= most:
-        end = next(event for event in told["events"] if event["do"] == "end")
+    lowest, highest = CROWDED_DESCRIPTORS
+    sockets = max(lowest, round(DESCRIPTORS_PER_CLIENT * _mean_clients(entries)))
+    if crowded and sockets <= highest:
+        end = next(event for event in entries["events"] if event["do"] == "end")
         at = max(0.0, end["at"] - rng.uniform(0.0, 1.0))
-        told["sockets"] = sockets
-        do = f"crowd {round(CROWD_ARRIVES * sockets)}"
+        entries["sockets"] = sockets
+        do = f"crowd {round(CROWD_PER_DESCRIPTOR * sockets)}"
         crowd = {"at": at, "balancers": "n*", "part": 0.3, "do": do, "for": rng.uniform(1.0, 4.0)}
-        told["events"].append(crowd)
+        entries["events"].append(crowd)
 
 
-def _standing(told: dict[str, Any]) -> float:
-    """Clients that stand at a balancer while half of the others, or the other one, are being restarted."""
-    lives = [min(cls["life"] / 1_000.0, SECONDS) for cls in told["classes"].values()]
-    serving = max(1.0, told["balancers"] / 2.0)
-    return float(told["rate"] * sum(lives) / len(lives) / serving)
+def _mean_clients(entries: dict[str, Any]) -> float:
+    """Estimate the open clients of a balancer while half of the balancers are being restarted."""
+    lives = [min(cls["life"] / 1_000.0, DURATION_S) for cls in entries["classes"].values()]
+    serving = max(1.0, entries["balancers"] / 2.0)
+    return float(entries["rate"] * sum(lives) / len(lives) / serving)
 
 
-def _class(rng: random.Random) -> dict[str, Any]:
+def _random_class(rng: random.Random) -> dict[str, Any]:
     return {
         "give_up": rng.choice([400, 800, 2_000, 3_000, 4_500]),
         "life": rng.choice([800, 3_000, 20_000]),
@@ -92,8 +96,8 @@
     }
 
 
-def _ends(rng: random.Random, balancers: int) -> list[dict[str, Any]]:
-    """A part of the balancers end in series, the others are reloaded; of one, it alone."""
+def _process_events(rng: random.Random, balancers: int) -> list[dict[str, Any]]:
+    """Restart some of the balancers as planned, and reload some."""
     part = 1.0 if balancers == 1 else rng.choice([0.2, 0.5])
     return [
         {
@@ -129,69 +133,73 @@
     ]
 
 
-def find_violations(trace: Trace, script: Script, late: float = 0.0) -> list[str]:
-    """Every rule that the play of a drawn story broke, each with the request or server that shows it.
+def find_violations(trace: Trace, script: Script, lateness_ms: float = 0.0) -> list[str]:
+    """Return all violations of the rules in a trace, each with the request or server concerned.
 
-    `late` is by how many ms the stand-ins' own loop was late at most: what they saw may be later by as much.
+    `lateness_ms` is how far the event loop of the play was behind: times in the trace may be late by as much.
     """
-    settled = trace.serving_ended_at - max(kind.give_up for kind in script.kinds) - script.patience
-    servers = {ident: CARRIES for ident in script.servers}
-    facts = [entry for entry in trace.of(EventKind.STATE) if entry.detail == "cold"]
+    settled_at = trace.serving_ended_at - max(kind.give_up for kind in script.kinds) - script.patience
+    capacity = {ident: WARM_CAPACITY for ident in script.servers}
+    cold_starts = [entry for entry in trace.of(EventKind.STATE) if entry.detail == "cold"]
     return [
-        *checks.one_final_answer(trace, settled),
-        *checks.no_overlapping_attempts(trace, checks.ORDER_TOLERANCE_MS + 2.0 * late),
-        *checks.draining_servers_spared(trace, GRACE + late),
-        *unanswered_requests(trace, script, late),
+        *checks.one_final_answer(trace, settled_at),
+        *checks.no_overlapping_attempts(trace, checks.ORDER_TOLERANCE_MS + 2.0 * lateness_ms),
+        *checks.draining_servers_spared(trace, DRAIN_GRACE_MS + lateness_ms),
+        *unanswered_requests(trace, script, lateness_ms),
         *checks.moves_announced(trace),
         *checks.effects_not_repeated(
-            trace, {kind.name: (kind.effect, kind.window + late) for kind in script.kinds}
+            trace, {kind.name: (kind.effect, kind.window + lateness_ms) for kind in script.kinds}
         ),
-        *(checks.slow_start_kept(trace, servers) if facts else []),
+        *(checks.slow_start_kept(trace, capacity) if cold_starts else []),
     ]
 
 
-def unanswered_requests(trace: Trace, script: Script, late: float) -> list[str]:
-    """Requests that a balancer had and that ended without an answer.
+def unanswered_requests(trace: Trace, script: Script, lateness_ms: float) -> list[str]:
+    """Return the requests that a balancer accepted and did not answer.
 
-    No balancer had those that came while none was there, or that none accepted any more. Where the clients
-    were late themselves (LATE_MOST), those that ran out of time say nothing. New connections may be shut
-    unread where idle clients fill a balancer's descriptors.
+    Not counted are requests that no balancer accepted, requests that timed out while the event loop of the
+    play was behind by MAX_LATENESS_MS or more, and new connections that were closed unread while idle clients
+    filled the descriptors of the balancer.
     """
-    least = {kind.name: kind.give_up for kind in script.kinds}
-    asked = {entry.job: entry for entry in trace.of(EventKind.REQUESTED)}
-    crowded = _crowded(trace)
+    deadlines = {kind.name: kind.give_up for kind in script.kinds}
+    requests = {entry.job: entry for entry in trace.of(EventKind.REQUESTED)}
+    crowded = _crowd_times(trace)
 
     def excused(entry: TraceEvent) -> bool:
-        request = asked[entry.job]
+        request = requests[entry.job]
         if not request.by or entry.detail == "REFUSED":
             return True
         if not entry.detail:
-            return late >= LATE_MOST and entry.ms >= least[entry.cls]
+            return lateness_ms >= MAX_LATENESS_MS and entry.ms >= deadlines[entry.cls]
         return not request.detail and any(
-            since <= request.at and entry.at <= until for since, until in crowded.get(request.by, ())
+            start <= request.at and entry.at <= end for start, end in crowded.get(request.by, ())
         )
 
-    return [_told(trace, entry, asked[entry.job]) for entry in trace.of(EventKind.LOST) if not excused(entry)]
+    return [
+        _describe(trace, entry, requests[entry.job])
+        for entry in trace.of(EventKind.LOST)
+        if not excused(entry)
+    ]
 
 
-def _told(trace: Trace, unanswered_requests: TraceEvent, request: TraceEvent) -> str:
-    """What became of a lost request, on what connection, and when its balancer was killed, if it was."""
-    how = unanswered_requests.detail or "out of time"
-    told = f"{unanswered_requests.job}: lost after {unanswered_requests.ms:.0f} ms, {how}, by {request.by}"
-    told += f" on a {request.detail or 'new'} connection"
-    kills = [
+def _describe(trace: Trace, lost: TraceEvent, request: TraceEvent) -> str:
+    """Describe a lost request: its connection, and when its balancer was killed, if it was."""
+    reason = lost.detail or "out of time"
+    text = f"{lost.job}: lost after {lost.ms:.0f} ms, {reason}, by {request.by}"
+    text += f" on a {request.detail or 'new'} connection"
+    killed_at = [
         entry.at for entry in trace.of(EventKind.FAULT) if entry.by == request.by and entry.detail == KILLED
     ]
-    return told + "".join(f", written {at - request.at:.1f} ms before the kill" for at in kills)
+    return text + "".join(f", written {at - request.at:.1f} ms before the kill" for at in killed_at)
 
 
-def _crowded(trace: Trace) -> dict[str, list[tuple[float, float]]]:
-    """From when until when idle clients came to each balancer, in ms."""
+def _crowd_times(trace: Trace) -> dict[str, list[tuple[float, float]]]:
+    """Return the times (start and end in ms) in which each balancer had a crowd of idle clients."""
     spans: dict[str, list[tuple[float, float]]] = {}
     for entry in trace.of(EventKind.FAULT):
         if entry.detail.split(" ")[0] == CROWD_FAULT:
             spans.setdefault(entry.by, []).append((entry.at, float("inf")))
         elif entry.detail == FAULT_OVER and entry.by in spans:
-            since, until = spans[entry.by][-1]
-            spans[entry.by][-1] = (since, min(until, entry.at))
+            start, end = spans[entry.by][-1]
+            spans[entry.by][-1] = (start, min(end, entry.at))
     return spans
--- a/puffinford/stage/spread.py
+++ b/puffinford/stage/spread.py
@@ -1,6 +1,6 @@
-"""How evenly the load lies over the servers, read from a trace. No I/O.
+"""How evenly connections are spread over the servers, calculated from a trace. No I/O.
 
-Standing connections count as a client sees them: from its UP to its end.
+A connection counts as its client sees it: from its UP to its end.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from puffinford.standins.servers import SERVING_STATES
 from puffinford.standins.trace import EventKind, Trace
 
-ENDED = (EventKind.DONE, EventKind.MOVED, EventKind.CUT_OFF)
-OVER_MS = 5_000.0  # the window whose mean load is judged
-JUDGED_FROM = 30.0  # connections a server, on average, from which an evenness can be judged
-ROOM = 0.9  # of the capacity; with more in use, a refusal is no fault
-IDLE_MS = 2_000.0  # a server that may have clients has some by then
+CONNECTION_ENDS = (EventKind.DONE, EventKind.MOVED, EventKind.CUT_OFF)
+WINDOW_MS = 5_000.0  # of `Evenness.worst_window_ratio`
+MIN_MEAN_CONNECTIONS = 30.0  # per server; below it a server may be idle by chance
+FULL_FRACTION = 0.9  # of the capacity in use, from which a refusal is justified
+IDLE_GRACE_MS = 2_000.0  # within which a usable server should get its first client
 
 
 @dataclass(frozen=True)
 class LoadSample:
-    """The load at one moment, in ms of the trace, as counts in the order of the servers."""
+    """Open connections at one moment (ms of the trace), in the order of the servers."""
 
     at: float
     connections: tuple[int, ...]
@@ -32,29 +32,29 @@
 def sample_loads(
     trace: Trace, servers: Sequence[str], since: float, until: float, step: float = 1_000.0
 ) -> list[LoadSample]:
-    """Standing connections of each server, at each step (ms) between two times of the trace."""
-    held: Counter[str] = Counter()
-    seen, due = [], since
+    """Sample the open connections of each server every `step` ms between two times of the trace (ms)."""
+    open_connections: Counter[str] = Counter()
+    samples, due = [], since
 
-    def look(at: float) -> None:
+    def sample_until(at: float) -> None:
         nonlocal due
         while due <= min(at, until):
-            seen.append(LoadSample(due, tuple(held[server] for server in servers)))
+            samples.append(LoadSample(due, tuple(open_connections[server] for server in servers)))
             due += step
 
-    for entry in trace.of(EventKind.UP, *ENDED):
-        look(entry.at)
-        held[entry.server] += 1 if entry.what is EventKind.UP else -1
-    look(until)
-    return seen
+    for entry in trace.of(EventKind.UP, *CONNECTION_ENDS):
+        sample_until(entry.at)
+        open_connections[entry.server] += 1 if entry.what is EventKind.UP else -1
+    sample_until(until)
+    return samples
 
 
 @dataclass(frozen=True)
 class Evenness:
-    """Loads over what each server's weight asks for; 1.0 is even.
+    """Ratios of the connections of servers to the share that their weights give them; 1.0 is even.
 
     `highest_ratio` and `lowest_ratio` are means over all samples of the highest and lowest ratio of a sample,
-    `worst_window_ratio` is the highest mean of any server over any window of OVER_MS, and
+    `worst_window_ratio` is the highest mean of any server over any window of WINDOW_MS, and
     `random_highest_ratio` the `highest_ratio` of random placement.
     """
 
@@ -62,28 +62,31 @@
     lowest_ratio: float
     worst_window_ratio: float
     random_highest_ratio: float
-    mean_connections: float  # connections a server
+    mean_connections: float  # per server
 
 
-def evenness(seconds: Sequence[LoadSample], weights: Sequence[float]) -> Evenness | None:
-    """The evenness of those seconds; None where there is nothing to judge."""
-    rows = [row for row in seconds if sum(row.connections)]
-    if not rows:
+def evenness(samples: Sequence[LoadSample], weights: Sequence[float]) -> Evenness | None:
+    """Calculate the evenness of samples, by weight of the servers; None if no sample has a connection."""
+    nonempty = [sample for sample in samples if sum(sample.connections)]
+    if not nonempty:
         return None
-    part = [weight / sum(weights) for weight in weights]
-    shares = [
-        [held / (sum(row.connections) * own) for held, own in zip(row.connections, part, strict=True)]
-        for row in rows
+    expected_shares = [weight / sum(weights) for weight in weights]
+    ratios = [
+        [
+            count / (sum(sample.connections) * share)
+            for count, share in zip(sample.connections, expected_shares, strict=True)
+        ]
+        for sample in nonempty
     ]
-    window = max(1, round(OVER_MS / (rows[1].at - rows[0].at))) if len(rows) > 1 else 1
+    window = max(1, round(WINDOW_MS / (nonempty[1].at - nonempty[0].at))) if len(nonempty) > 1 else 1
     worst = 0.0
-    for column in zip(*shares, strict=True):
-        spans = [column[n : n + window] for n in range(max(1, len(column) - window + 1))]
-        worst = max([worst, *(statistics.mean(span) for span in spans)])
-    total = statistics.mean(sum(row.connections) for row in rows)
+    for column in zip(*ratios, strict=True):
+        windows = [column[n : n + window] for n in range(max(1, len(column) - window + 1))]
+        worst = max([worst, *(statistics.mean(span) for span in windows)])
+    total = statistics.mean(sum(sample.connections) for sample in nonempty)
     return Evenness(
-        statistics.mean(map(max, shares)),
-        statistics.mean(map(min, shares)),
+        statistics.mean(map(max, ratios)),
+        statistics.mean(map(min, ratios)),
         worst,
         random_placement_ratio(round(total), weights, random.Random(1)),
         total / len(weights),
@@ -93,54 +96,54 @@
 def random_placement_ratio(
     total: int, weights: Sequence[float], rng: random.Random, draws: int = 200
 ) -> float:
-    """The fullest server over its part where so many connections are placed by chance, by weight."""
-    part = [weight / sum(weights) for weight in weights]
-    most = []
+    """Return the mean of the highest ratio when `total` connections are placed at random, by weight."""
+    expected_shares = [weight / sum(weights) for weight in weights]
+    highest_ratios = []
     for _ in range(draws):
-        held = Counter(rng.choices(range(len(weights)), weights, k=total))
-        most.append(max(held[n] / (total * own) for n, own in enumerate(part)))
-    return statistics.mean(most) if total else 0.0
+        placed = Counter(rng.choices(range(len(weights)), weights, k=total))
+        highest_ratios.append(max(placed[n] / (total * share) for n, share in enumerate(expected_shares)))
+    return statistics.mean(highest_ratios) if total else 0.0
 
 
 def refusals_with_free_capacity(
     trace: Trace, capacity: Mapping[str, float], since: float, until: float
 ) -> int:
-    """Jobs that were turned away while the fleet held under ROOM of its capacity.
+    """Count the requests that were refused while under FULL_FRACTION of the capacity was in use.
 
-    `capacity` is what each server holds, in connections; one that crashed, is silent or drains has none.
+    `capacity` maps servers to connections; a server that crashed, is silent or drains counts for none.
     """
-    held: Counter[str] = Counter()
-    out: set[str] = set()
-    counted = 0
+    open_connections: Counter[str] = Counter()
+    unavailable: set[str] = set()
+    refusals = 0
     for entry in trace.entries:
         if entry.what is EventKind.UP:
-            held[entry.server] += 1
-        elif entry.what in ENDED:
-            held[entry.server] -= 1
+            open_connections[entry.server] += 1
+        elif entry.what in CONNECTION_ENDS:
+            open_connections[entry.server] -= 1
         elif entry.what is EventKind.STATE:
-            (out.discard if entry.detail in SERVING_STATES else out.add)(entry.server)
+            (unavailable.discard if entry.detail in SERVING_STATES else unavailable.add)(entry.server)
         elif entry.what in (EventKind.BUSY, EventKind.FAILED) and since <= entry.at < until:
-            room = sum(size for server, size in capacity.items() if server not in out)
-            counted += sum(held.values()) < ROOM * room
-    return counted
+            available = sum(size for server, size in capacity.items() if server not in unavailable)
+            refusals += sum(open_connections.values()) < FULL_FRACTION * available
+    return refusals
 
 
 def idle_servers(
-    seconds: Sequence[LoadSample], servers: Sequence[str], usable: Mapping[str, float]
+    samples: Sequence[LoadSample], servers: Sequence[str], usable: Mapping[str, float]
 ) -> list[str]:
-    """The servers that held nothing at a second later than IDLE_MS after they could have had clients.
+    """Return the servers without a connection in a sample later than IDLE_GRACE_MS after they became usable.
 
-    `usable` is when that was, in ms of the trace, for each server that is judged. Judged are seconds in which
-    the servers hold JUDGED_FROM connections each on average: with fewer, one may be empty by chance.
+    `usable` maps the servers to check to the time when they became usable (ms of the trace). Samples with
+    under MIN_MEAN_CONNECTIONS connections per server are ignored: a server may be idle in them by chance.
     """
-    found = []
+    idle = []
     for number, server in enumerate(servers):
         since = usable.get(server)
         if since is None:
             continue
-        for row in seconds:
-            enough = sum(row.connections) >= JUDGED_FROM * len(servers)
-            if row.at >= since + IDLE_MS and enough and not row.connections[number]:
-                found.append(server)
+        for sample in samples:
+            enough = sum(sample.connections) >= MIN_MEAN_CONNECTIONS * len(servers)
+            if sample.at >= since + IDLE_GRACE_MS and enough and not sample.connections[number]:
+                idle.append(server)
                 break
-    return found
+    return idle
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults between several real processes: what is struck, what links do to lines, and that rules hold."""
+"""Faults between several real processes: affected parties, links, and kept rules."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
      "fin back", "rst there", "delay 5 back there", "sound back"],
 )  # fmt: skip
 def test_a_fault_that_cannot_be_played_is_named(text: str | None) -> None:
-    with pytest.raises(InvalidFault, match=r"none of|needs|no way"):
+    with pytest.raises(InvalidFault, match=r"none of|needs|not a direction"):
         read_fault(text)
 
 
@@ -40,7 +40,7 @@
         fault = read_fault(text)
     except InvalidFault:
         return
-    assert read_fault(f"{fault.kind} {fault.figure or ''} {fault.way}") == fault
+    assert read_fault(f"{fault.kind} {fault.value or ''} {fault.direction}") == fault
 
 
 def test_a_fault_strikes_the_same_part_each_time() -> None:
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize(
     ("event", "place"),
     [
-        ({"at": 1, "links": "n1", "do": "hold"}, "no A > B"),
+        ({"at": 1, "links": "n1", "do": "hold"}, "not of the form A > B"),
         ({"at": 1, "links": "n9 > gw-1", "do": "hold"}, "names none"),
         ({"at": 1, "links": "n* > gw-9", "do": "hold"}, "names none"),
         ({"at": 1, "links": "n* > gw-1", "do": "burn"}, "burn"),
@@ -71,12 +71,12 @@
         read_script({"balancers": 3, "servers": {"gw": {"count": 2}}, "events": [event]})
 
 
-class Line:
-    """A line from one end through a link to an echo at the other."""
+class EchoLink:
+    """A link in front of an echo server, with connections through it."""
 
     def __init__(self, clock: Clock, tasks: anyio.abc.TaskGroup) -> None:
         self.clock, self.tasks = clock, tasks
-        self.ended: list[bytes] = []  # how lines ended at the far end
+        self.ended: list[bytes] = []  # FIN or RST, as seen by the echo server
 
     async def open(self) -> LineStream:
         listener = await anyio.create_tcp_listener(local_host=HOST)
@@ -91,9 +91,9 @@
         self.tasks.start_soon(listener.serve, echo)
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         self.link = Link("a>b", (HOST, port), self.clock, self.tasks)
-        return await self.another()
+        return await self.connect()
 
-    async def another(self) -> LineStream:
+    async def connect(self) -> LineStream:
         return LineStream(await anyio.connect_tcp(HOST, self.link.port))
 
 
@@ -101,8 +101,8 @@
 @pytest.mark.parametrize("end", ["FIN", "RST"])
 async def test_a_sound_link_keeps_bytes_and_how_a_line_ends(end: str) -> None:
     async with anyio.create_task_group() as tasks:
-        line = Line(Clock(), tasks)
-        near = await line.open()
+        echo_link = EchoLink(Clock(), tasks)
+        near = await echo_link.open()
         sent = [b"x" * size for size in (1, 70_000, 3)]
         for piece in sent:
             await near.send_line(piece)
@@ -112,9 +112,9 @@
             assert await near.next() == LineStream.FIN
         else:
             await reset(near.stream)
-            while not line.ended:
+            while not echo_link.ended:
                 await anyio.sleep(0)
-        assert line.ended == [LineStream.FIN if end == "FIN" else LineStream.RST]
+        assert echo_link.ended == [LineStream.FIN if end == "FIN" else LineStream.RST]
         tasks.cancel_scope.cancel()
 
 
@@ -122,18 +122,18 @@
 async def test_a_delayed_link_passes_nothing_on_before_its_time() -> None:
     clock = SettableClock()
     async with anyio.create_task_group() as tasks:
-        line = Line(clock, tasks)
-        near = await line.open()
-        await line.link.set_fault(read_fault("delay 300 back"))
+        echo_link = EchoLink(clock, tasks)
+        near = await echo_link.open()
+        await echo_link.link.set_fault(read_fault("delay 300 back"))
         await near.send_line(b"one")
-        while not clock.waiting:  # the echo has come, and its time has not
+        while not clock.waiting:  # the echo has arrived and is being delayed
             await anyio.sleep(0)
-        there = line.link.forwarded_bytes
+        forwarded = echo_link.link.forwarded_bytes
         clock.advance(299.0)
         await anyio.wait_all_tasks_blocked()
-        assert line.link.forwarded_bytes == there == len(b"one\r\n"), "there, and not back"
+        assert echo_link.link.forwarded_bytes == forwarded == len(b"one\r\n"), "forwarded there, not back"
         clock.advance(1.0)
-        assert await near.next() == b"one" and line.link.max_lateness_ms == 0.0
+        assert await near.next() == b"one" and echo_link.link.max_lateness_ms == 0.0
         tasks.cancel_scope.cancel()
 
 
@@ -145,54 +145,54 @@
 )  # fmt: skip
 async def test_what_becomes_of_a_line_in_a_fault_and_after_it(fault: str, after: bytes | None) -> None:
     async with anyio.create_task_group() as tasks:
-        line = Line(Clock(), tasks)
-        near = await line.open()
+        echo_link = EchoLink(Clock(), tasks)
+        near = await echo_link.open()
         await near.send_line(b"zero")
         assert await near.next() == b"zero"
-        await line.link.set_fault(read_fault(fault))
+        await echo_link.link.set_fault(read_fault(fault))
         await near.send_line(b"one")
-        heard: list[bytes] = []
+        received: list[bytes] = []
 
-        async def hear() -> None:
-            heard.append(await near.next())
+        async def receive() -> None:
+            received.append(await near.next())
 
-        tasks.start_soon(hear)
-        passed = line.link.forwarded_bytes
+        tasks.start_soon(receive)
+        forwarded = echo_link.link.forwarded_bytes
         if after is not None and not fault.startswith("hold"):
-            while not heard:
+            while not received:
                 await anyio.sleep(0)
         else:
-            far = len(b"one\r\n") if fault.endswith("back") else 0
-            while line.link.forwarded_bytes < passed + far:
+            request_size = len(b"one\r\n") if fault.endswith("back") else 0
+            while echo_link.link.forwarded_bytes < forwarded + request_size:
                 await anyio.sleep(0)
             await anyio.wait_all_tasks_blocked()
-            assert not heard
-        await line.link.set_fault(read_fault("sound"))
-        fresh = await line.another()
+            assert not received
+        await echo_link.link.set_fault(read_fault("sound"))
+        fresh = await echo_link.connect()
         await fresh.send_line(b"two")
-        assert await fresh.next() == b"two", "a new line finds the link sound"
+        assert await fresh.next() == b"two", "a new connection finds the link sound"
         if after is not None:
-            while not heard:
+            while not received:
                 await anyio.sleep(0)
-        assert heard == ([] if after is None else [after])
+        assert received == ([] if after is None else [after])
         tasks.cancel_scope.cancel()
 
 
-# Stories
+# Plays with faults
 
 
-def told(seconds: float, events: list[dict[str, Any]], **more: Any) -> dict[str, Any]:
+def script_with(seconds: float, events: list[dict[str, Any]], **more: Any) -> dict[str, Any]:
     kinds = {"desk": {"life": 1_500.0, "every": 600.0, "give_up": 2_000.0, "groups": 200}}
     base = {"seed": 5, "seconds": seconds, "balancers": 4, "rate": 40.0, "classes": kinds}
     return {**base, "servers": {"gw": {"count": 5, "capacity": 200}}, "events": events, **more}
 
 
-def played(tmp_path: Path, script: dict[str, Any]) -> tuple[Play, Trace]:
+def run_play(tmp_path: Path, script: dict[str, Any]) -> tuple[Play, Trace]:
     play = Play(read_script(script), tmp_path)
     return play, anyio.run(play.run)
 
 
-def kept(trace: Trace) -> list[str]:
+def rule_violations(trace: Trace) -> list[str]:
     return [
         *checks.one_final_answer(trace, trace.serving_ended_at - 2_500.0),
         *checks.no_overlapping_attempts(trace),
@@ -200,66 +200,65 @@
     ]
 
 
-def at(trace: Trace, detail: str) -> float:
-    """When a fault was played, in ms."""
+def fault_time(trace: Trace, detail: str) -> float:
+    """The time of the first fault with this detail, in ms of the trace."""
     return next(entry.at for entry in trace.of(EventKind.FAULT) if entry.detail == detail)
 
 
-def refused(trace: Trace, since: float) -> int:
-    """Jobs that were turned away from then on; before, balancers wait for their first list."""
+def count_refusals(trace: Trace, since: float) -> int:
+    """Refused requests since a time in ms; earlier ones may be due to balancers without a list yet."""
     return sum(entry.at >= since for entry in trace.of(EventKind.BUSY, EventKind.FAILED))
 
 
-def claims(trace: Trace, server: str, since: float, until: float) -> dict[str, int]:
-    """Claims at a server between two times, by balancer."""
-    made: dict[str, int] = {}
+def attempts_by_balancer(trace: Trace, server: str, since: float, until: float) -> dict[str, int]:
+    """Count the attempts at a server between two times (ms), by balancer."""
+    counts: dict[str, int] = {}
     for entry in trace.of(EventKind.ATTEMPT):
         if entry.server == server and since <= entry.at < until:
-            made[entry.by] = made.get(entry.by, 0) + 1
-    return made
+            counts[entry.by] = counts.get(entry.by, 0) + 1
+    return counts
 
 
 def test_the_end_of_a_story_turns_no_client_into_a_lost_one(tmp_path: Path) -> None:
-    """Clients whom the end of the balancers cut off came again, found none, and stood in the column lost."""
+    """Guards against clients that reconnect during teardown, find no balancer and count as lost."""
     kinds = {"desk": {"life": 400.0, "every": 100.0, "give_up": 2_000.0}}
-    _, trace = played(tmp_path, told(3.0, [], classes=kinds, rate=200.0))
+    _, trace = run_play(tmp_path, script_with(3.0, [], classes=kinds, rate=200.0))
     assert list(trace.of(EventKind.LOST)) == []
 
 
 def test_answers_lost_on_the_way_back_from_half_of_the_balancers(tmp_path: Path) -> None:
-    """The half that hears nothing of a server leaves it after few clients; the rest goes on, all return.
+    """Balancers that get no answers from a server stop using it, the others go on, and all return to it.
 
-    Groups have their homes by hash: at 40 clients a second none of 27 that came to a sound balancer in the
-    window was at home there, in one play of forty. At 100 that is one of a million.
+    The rate is high enough that each balancer almost certainly has a group that hashes to the server.
     """
     lost = {"at": 1.5, "links": "n* > gw-1", "part": 0.5, "do": "drop back", "for": 4.0}
-    play, trace = played(tmp_path, told(11.0, [lost], rate=100.0))
-    assert kept(trace) == []
-    began, ended = at(trace, "drop back"), at(trace, "sound")
-    struck_ones = {name.partition(">")[0] for event in play.script.events for name in event.names}
-    assert len(struck_ones) == 2
-    for name in struck_ones:
+    play, trace = run_play(tmp_path, script_with(11.0, [lost], rate=100.0))
+    assert rule_violations(trace) == []
+    began, ended = fault_time(trace, "drop back"), fault_time(trace, "sound")
+    affected = {name.partition(">")[0] for event in play.script.events for name in event.names}
+    assert len(affected) == 2
+    for name in affected:
         first = next(
             e for e in trace.of(EventKind.ATTEMPT) if e.by == name and e.server == "gw-1" and e.at > began
         )
-        given_up = (
+        timed_out_at = (
             next(e.at for e in trace.of(EventKind.ATTEMPT_END) if e.detail == first.detail)
             + checks.ORDER_TOLERANCE_MS
         )
-        trials = claims(trace, "gw-1", given_up, ended).get(name, 0)
-        assert trials <= 2, "after 250 ms, a second out, 500 ms, another second: the third comes later"
-    sound_ones = set(claims(trace, "gw-1", began + 1_500.0, ended)) - struck_ones
-    assert len(sound_ones) == 2
-    assert set(claims(trace, "gw-1", ended, trace.elapsed)) >= struck_ones
-    assert refused(trace, began) <= 0.02 * len(list(trace.of(EventKind.REQUESTED))), (
-        "four sound servers have room"
+        trials = attempts_by_balancer(trace, "gw-1", timed_out_at, ended).get(name, 0)
+        assert trials <= 2, "timeouts and pauses between trials leave time for two at most"
+    unaffected = set(attempts_by_balancer(trace, "gw-1", began + 1_500.0, ended)) - affected
+    assert len(unaffected) == 2
+    assert set(attempts_by_balancer(trace, "gw-1", ended, trace.elapsed)) >= affected
+    assert count_refusals(trace, began) <= 0.02 * len(list(trace.of(EventKind.REQUESTED))), (
+        "four sound servers have free capacity"
     )
 
 
 def test_a_frozen_balancer_does_not_act_on_what_it_knew(tmp_path: Path) -> None:
-    """While it stands still two servers are told to be going; woken past the grace it sends nothing there.
+    """Two servers start to leave while it is suspended; resumed past the grace, it sends nothing to them.
 
-    It stands still for longer than its watch may take: at the wake that call is over, its answer unread.
+    It is suspended for longer than the longest watch, which has ended with its answer unread when it resumes.
     """
     events = [
         {"at": 1.5, "balancers": "n*", "part": 0.25, "do": "freeze", "for": 7.0},
@@ -267,33 +266,33 @@
         {"at": 1.7, "server": "gw-2", "do": "leaving"},
         {"at": 0.5, "links": "clients > n1", "do": "sound"},
     ]
-    play, trace = played(tmp_path, told(11.0, events))
+    play, trace = run_play(tmp_path, script_with(11.0, events))
     (frozen,) = next(event.names for event in play.script.events if event.do == "freeze")
-    woken = at(trace, "wake")
-    told_at = [
+    woken = fault_time(trace, "wake")
+    listed_at = [
         entry.at for entry in trace.of(EventKind.LISTED) if entry.by == frozen and entry.detail == "leaving"
     ]
-    assert told_at and min(told_at) < woken - 3_000.0, "what is written to it counts as told"
-    assert [breach for breach in kept(trace) if "no answer" not in breach] == []
+    assert listed_at and min(listed_at) < woken - 3_000.0, "answers count from when they are written"
+    assert [violation for violation in rule_violations(trace) if "no answer" not in violation] == []
     for server in ("gw-1", "gw-2"):
-        assert claims(trace, server, woken, trace.elapsed).get(frozen, 0) == 0
-    assert any(claims(trace, f"gw-{n}", woken, trace.elapsed).get(frozen, 0) for n in (3, 4, 5))
+        assert attempts_by_balancer(trace, server, woken, trace.elapsed).get(frozen, 0) == 0
+    assert any(attempts_by_balancer(trace, f"gw-{n}", woken, trace.elapsed).get(frozen, 0) for n in (3, 4, 5))
 
 
 def test_balancers_held_up_for_a_moment_keep_the_shortest_grace(tmp_path: Path) -> None:
-    """Each stands still for 0.15 s over the moment in which a drain is told, four times over."""
+    """Each is suspended for 0.15 s around the announcement of a drain, four times."""
     events: list[dict[str, Any]] = []
     for n in range(4):
         events.append({"at": 1.0 + 0.6 * n, "balancers": "n*", "do": "freeze", "for": 0.15})
         events.append({"at": 1.02 + 0.6 * n, "server": f"gw-{n + 1}", "do": "leaving"})
-    play, trace = played(tmp_path, told(4.5, events, rate=150.0))
+    play, trace = run_play(tmp_path, script_with(4.5, events, rate=150.0))
     assert sum(entry.detail == "freeze" for entry in trace.of(EventKind.FAULT)) == 16
     assert checks.draining_servers_spared(trace, 500.0 + play.max_lateness_ms) == []
-    assert kept(trace) == []
+    assert rule_violations(trace) == []
 
 
 def test_requests_with_next_to_no_time_left_have_their_answer(tmp_path: Path) -> None:
-    """Some have less than a connection takes; some servers drop them without a word, or break them off."""
+    """Some deadlines are shorter than a connection takes; some servers are silent, or reset connections."""
     kinds = {
         f"{effect}-{ms}": {"life": 500.0, "give_up": ms, "effect": effect, "window": 40.0}
         for effect in ("at_most_once", "deduplicated", "idempotent")
@@ -304,50 +303,53 @@
         {"at": 1.0, "server": "gw-2", "do": "resetting"},
         {"at": 2.0, "server": "gw-3", "do": "failing"},
     ]
-    script = told(4.0, events, classes=kinds, rate=120.0, patience=500.0)
-    play, trace = played(tmp_path, script)
+    script = script_with(4.0, events, classes=kinds, rate=120.0, patience=500.0)
+    play, trace = run_play(tmp_path, script)
     assert checks.one_final_answer(trace, trace.serving_ended_at - 2_500.0) == []
-    # Claims last some ms here: what the stand-ins saw may be later by their own loop, at both ends.
+    # Attempts last a few ms here, and the event loop may delay the observation of both of their ends.
     assert checks.no_overlapping_attempts(trace, checks.ORDER_TOLERANCE_MS + 2.0 * play.max_lateness_ms) == []
     late = [entry for entry in trace.of(EventKind.LOST) if entry.at < trace.serving_ended_at - 600.0]
-    assert late == [], "an answer comes within half a second after the time"
-    told_kinds = {kind.name: (kind.effect, kind.window + play.max_lateness_ms) for kind in play.script.kinds}
-    assert checks.effects_not_repeated(trace, told_kinds) == []
+    assert late == [], "answers arrive within 0.5 s after the deadline"
+    effects = {kind.name: (kind.effect, kind.window + play.max_lateness_ms) for kind in play.script.kinds}
+    assert checks.effects_not_repeated(trace, effects) == []
 
 
 def test_a_third_of_the_balancers_killed_at_once(tmp_path: Path) -> None:
-    """Their clients come to the rest, which lose and refuse nobody; those that come back take part again."""
+    """The others take over without lost or refused requests, and the restarted ones serve again."""
     killed = {"at": 2.0, "balancers": "n*", "part": 0.34, "do": "kill", "for": 2.0}
-    play, trace = played(tmp_path, told(7.0, [killed], balancers=6))
-    struck_ones = {name for event in play.script.events for name in event.names}
-    assert len(struck_ones) == 2
-    began, woken = at(trace, "kill"), at(trace, "wake")
+    play, trace = run_play(tmp_path, script_with(7.0, [killed], balancers=6))
+    affected = {name for event in play.script.events for name in event.names}
+    assert len(affected) == 2
+    began, woken = fault_time(trace, "kill"), fault_time(trace, "wake")
     lost = [entry.at for entry in trace.of(EventKind.LOST) if began <= entry.at < trace.serving_ended_at]
-    assert kept(trace) == [] and all(when < began + 250.0 for when in lost)
-    assert refused(trace, began) - refused(trace, woken) == 0
-    back = {entry.job for entry in trace.of(EventKind.UP) if entry.at > woken + 1_500.0}
-    assert len(back) >= 30 and len(list(trace.of(EventKind.CUT_OFF))) >= 4
+    assert rule_violations(trace) == [] and all(when < began + 250.0 for when in lost)
+    assert count_refusals(trace, began) - count_refusals(trace, woken) == 0
+    served_after = {entry.job for entry in trace.of(EventKind.UP) if entry.at > woken + 1_500.0}
+    assert len(served_after) >= 30 and len(list(trace.of(EventKind.CUT_OFF))) >= 4
 
 
 def test_clients_of_a_slow_link_are_served_and_cost_nobody_else(tmp_path: Path) -> None:
-    """300 ms each way between clients and half of the balancers: later, and no claim is made twice for it."""
-    slow = {"at": 1.5, "links": "clients > n*", "part": 0.5, "do": "delay 300", "for": 3.0}
-    _, trace = played(tmp_path, told(6.0, [slow]))
-    assert kept(trace) == []
-    began, ended = at(trace, "delay 300"), at(trace, "sound")
-    jobs = [entry.job for entry in trace.of(EventKind.ATTEMPT) if began <= entry.at < ended]
-    assert len(jobs) == len(set(jobs)) >= 60, "one claim a job"
+    """Latency between clients and half of the balancers delays requests, but causes no second attempt."""
+    delay = {"at": 1.5, "links": "clients > n*", "part": 0.5, "do": "delay 300", "for": 3.0}
+    _, trace = run_play(tmp_path, script_with(6.0, [delay]))
+    assert rule_violations(trace) == []
+    began, ended = fault_time(trace, "delay 300"), fault_time(trace, "sound")
+    requests = [entry.job for entry in trace.of(EventKind.ATTEMPT) if began <= entry.at < ended]
+    assert len(requests) == len(set(requests)) >= 60, "one attempt per request"
     ups = [entry.ms for entry in trace.of(EventKind.UP) if began + 700.0 <= entry.at < ended]
     assert sum(ms >= 600.0 for ms in ups) >= 10 <= sum(ms < 300.0 for ms in ups)
-    assert refused(trace, began) <= 0.02 * len(jobs)
+    assert count_refusals(trace, began) <= 0.02 * len(requests)
 
 
 def test_a_broken_balancer_is_found_by_the_checker_for_each_of_them() -> None:
-    """One that was told late is not blamed for it, and one that goes on sending is."""
+    """A balancer that got the list late is not at fault; one that goes on sending is."""
     times = iter([0.0, 0.0, 500.0, 3_400.0, 3_600.0])
     trace = Trace(lambda: next(times))
     trace.add(EventKind.LISTED, server="a", detail="leaving", by="n1")
     trace.add(EventKind.LISTED, server="a", detail="leaving", by="n2")
     trace.add(EventKind.ATTEMPT, job="late", server="a", by="n1", detail="1")
     trace.add(EventKind.ATTEMPT, job="later", server="a", by="n2", detail="2")
-    assert [breach.partition(":")[0] for breach in checks.draining_servers_spared(trace)] == ["late", "later"]
+    assert [violation.partition(":")[0] for violation in checks.draining_servers_spared(trace)] == [
+        "late",
+        "later",
+    ]
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Drawn stories keep the rules, and a rule that is broken on purpose is found."""
+"""Soak tests: balancers keep the rules in random scripts, and the checkers find deliberate violations."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 from tests.processes import SEAM, FaultPlan
 
 ROOT = Path(__file__).parent.parent
-SMALL = 5  # balancers, so that a machine with few cores plays them in time
+MAX_BALANCERS = 5  # few enough for a host with few cores
 
 
 @pytest.mark.parametrize("seed", [11, 12, 13, 14])
 def test_processes_keep_the_rules_under_drawn_faults_and_signals(seed: int, tmp_path: Path) -> None:
-    script = generate_script(seed, SMALL)
+    script = generate_script(seed, MAX_BALANCERS)
     play = Play(script, tmp_path)
     trace = anyio.run(play.run)
     assert find_violations(trace, script, play.max_lateness_ms) == []
 
 
-# Failures of a moment, by part of the calls, under every process of a story; none is a peer's.
-FAILING: list[dict[str, object]] = [
+# Temporary local failures of a fraction (`part`) of the system calls, in every balancer process.
+SYSTEM_CALL_FAILURES: list[dict[str, object]] = [
     {"call": "connect", "errno": "EADDRNOTAVAIL", "part": 0.1},
     {"call": "socket", "errno": "ENOBUFS", "part": 0.05},
     {"call": "accept", "errno": "ENFILE", "part": 0.05},
@@ -38,25 +38,25 @@
     {"call": "send", "errno": "ENOBUFS", "part": 0.05},
     {"call": "stat", "errno": "EIO", "part": 0.05, "file": ".cordons"},
 ]
-HOUR = 3_600.0
+HOUR_S = 3_600.0
 
 
 @pytest.mark.parametrize("seed", [21, 22, 23])
 def test_processes_keep_the_rules_while_system_calls_fail_and_the_clock_steps(
     seed: int, tmp_path: Path
 ) -> None:
-    """The wall clock goes back an hour in the middle of the story, and then on by two.
-
-    Seed 21 lost a request in some plays, after 5 ms with RST and in no log: its client rested on a connection
-    that its balancer held to the kill. With all clients at rest first 3 plays of 12 lost such requests, one
-    written 0.9 ms before the kill; none of 12 did once the end of the process went by one plan.
+    """The wall clock steps back an hour, and forward again. Guards against requests lost at the kill of a
+    balancer that still holds connections without a request.
     """
     plan = FaultPlan(tmp_path / "plan.json")
-    steps = [threading.Timer(at, plan.apply, [step, *FAILING]) for at, step in ((4.0, -HOUR), (7.0, HOUR))]
-    plan.apply(0.0, *FAILING, seed=seed)
+    steps = [
+        threading.Timer(at, plan.apply, [step, *SYSTEM_CALL_FAILURES])
+        for at, step in ((4.0, -HOUR_S), (7.0, HOUR_S))
+    ]
+    plan.apply(0.0, *SYSTEM_CALL_FAILURES, seed=seed)
     for step in steps:
         step.start()
-    script = generate_script(seed, SMALL)
+    script = generate_script(seed, MAX_BALANCERS)
     play = Play(script, tmp_path, env={"FAULT_PLAN": str(plan.path), "PYTHONPATH": f"{SEAM}:{ROOT}"})
     try:
         trace = anyio.run(play.run)
@@ -67,77 +67,94 @@
     assert find_violations(trace, script, play.max_lateness_ms) == []
 
 
-SECOND_SIGNAL = "counts from the first signal.\n                continue"
+SECOND_SIGNAL_CODE = "counts from the first signal.\n                continue"
 
 
 @pytest.mark.parametrize(
-    ("line", "instead", "told"),
+    ("line", "replacement", "expected"),
     [
-        (SECOND_SIGNAL, SECOND_SIGNAL.replace("continue", "return"), "cut without MOVE"),
+        (SECOND_SIGNAL_CODE, SECOND_SIGNAL_CODE.replace("continue", "return"), "cut without MOVE"),
         ("tracker.evict_all()", "pass", "on a held rested connection"),
     ],
     ids=["ended at a second signal", "held over the kill"],
 )
-def test_processes_that_end_amiss_are_found(line: str, instead: str, told: str, tmp_path: Path) -> None:
-    """The same program, but for a line: it cuts all off at a second signal, or holds them to the kill."""
+def test_processes_that_end_amiss_are_found(
+    line: str, replacement: str, expected: str, tmp_path: Path
+) -> None:
+    """With a line changed, the program cuts connections at a second signal, or holds them until the kill."""
     tree = tmp_path / "tree"
     shutil.copytree(ROOT / "puffinford", tree / "puffinford", ignore=shutil.ignore_patterns("__pycache__"))
     shutil.copytree(ROOT / "deploy", tree / "deploy")
     serve = tree / "puffinford" / "serve.py"
-    broken = serve.read_text().replace(line, instead)
+    broken = serve.read_text().replace(line, replacement)
     assert broken != serve.read_text()
     serve.write_text(broken)
-    script = generate_script(11, SMALL)
+    script = generate_script(11, MAX_BALANCERS)
     play = Play(script, tmp_path, root=tree)
     trace = anyio.run(play.run)
-    assert any(told in breach for breach in find_violations(trace, script, play.max_lateness_ms))
+    assert any(expected in violation for violation in find_violations(trace, script, play.max_lateness_ms))
 
 
 @pytest.mark.parametrize(
-    ("how", "at", "wrong"),
+    ("connection", "at", "violated"),
     [("", 50.0, False), ("", 5_000.0, True), ("rested", 50.0, True), ("held fresh", 50.0, True)],
 )
-def test_a_crowd_excuses_none_but_new_connections_of_its_time(how: str, at: float, wrong: bool) -> None:
-    """Idle clients that fill the descriptors may have new connections shut unread, and no others."""
+def test_a_crowd_excuses_none_but_new_connections_of_its_time(
+    connection: str, at: float, violated: bool
+) -> None:
+    """While idle clients fill the descriptors, a balancer may close new connections unread, but no others."""
     trace = trace_of(
         (0.0, EventKind.FAULT, {"by": "n1", "detail": "crowd 400"}),
-        (at, EventKind.REQUESTED, {"job": "a", "cls": "class-0", "by": "n1", "detail": how}),
+        (at, EventKind.REQUESTED, {"job": "a", "cls": "class-0", "by": "n1", "detail": connection}),
         (at + 9.0, EventKind.LOST, {"job": "a", "cls": "class-0", "ms": 9.0, "detail": "RST"}),
     )
     if at > 1_000.0:
         trace.entries.insert(1, replace(trace.entries[0], at=1_000.0, detail="wake"))
-    assert bool(unanswered_requests(trace, generate_script(11, SMALL), 0.0)) is wrong
+    assert bool(unanswered_requests(trace, generate_script(11, MAX_BALANCERS), 0.0)) is violated
 
 
-KINDS = {"once": ("at_most_once", 0.0), "keyed": ("deduplicated", 1_000.0), "safe": ("idempotent", 0.0)}
+EFFECTS_BY_CLASS = {
+    "once": ("at_most_once", 0.0),
+    "keyed": ("deduplicated", 1_000.0),
+    "safe": ("idempotent", 0.0),
+}
 
 
 @pytest.mark.parametrize(
-    ("cls", "again", "wrong"),
+    ("cls", "again", "violated"),
     [("once", 100.0, True), ("keyed", 900.0, False), ("keyed", 1_300.0, True), ("safe", 9_000.0, False)],
 )
-def test_a_doubled_effect_is_found(cls: str, again: float, wrong: bool) -> None:
+def test_a_doubled_effect_is_found(cls: str, again: float, violated: bool) -> None:
     trace = trace_of(
         (0.0, EventKind.REQUESTED, {"job": "a", "cls": cls}),
         (1.0, EventKind.EXECUTED, {"job": "a", "server": "s"}),
         (1.0 + again, EventKind.EXECUTED, {"job": "a", "server": "t"}),
     )
-    assert bool(checks.effects_not_repeated(trace, KINDS)) is wrong
+    assert bool(checks.effects_not_repeated(trace, EFFECTS_BY_CLASS)) is violated
 
 
 def test_a_refusal_of_what_may_have_run_is_found() -> None:
-    told = [(0.0, EventKind.REQUESTED, {"job": "a", "cls": "once"}), (1.0, EventKind.EXECUTED, {"job": "a"})]
-    assert checks.effects_not_repeated(trace_of(*told, (2.0, EventKind.BUSY, {"job": "a"})), KINDS)
-    assert not checks.effects_not_repeated(trace_of(*told, (2.0, EventKind.FAILED, {"job": "a"})), KINDS)
+    events = [
+        (0.0, EventKind.REQUESTED, {"job": "a", "cls": "once"}),
+        (1.0, EventKind.EXECUTED, {"job": "a"}),
+    ]
+    assert checks.effects_not_repeated(
+        trace_of(*events, (2.0, EventKind.BUSY, {"job": "a"})), EFFECTS_BY_CLASS
+    )
+    assert not checks.effects_not_repeated(
+        trace_of(*events, (2.0, EventKind.FAILED, {"job": "a"})), EFFECTS_BY_CLASS
+    )
 
 
-@pytest.mark.parametrize(("number", "wrong"), [(6, False), (9, True)])
-def test_a_flooded_cold_server_is_found(number: int, wrong: bool) -> None:
-    """0.68 openings are allowed in the first second of one that carries 40: with chance 6.1."""
+@pytest.mark.parametrize(("number", "violated"), [(6, False), (9, True)])
+def test_a_flooded_cold_server_is_found(number: int, violated: bool) -> None:
+    """Slow start allows 6.1 connections, with tolerance, in the first second of a server with capacity 40."""
     openings = [
         (10.0 * n, EventKind.ATTEMPT, {"job": f"a{n}", "server": "s", "by": "n1"}) for n in range(number)
     ]
     start = (0.0, EventKind.STATE, {"server": "s", "detail": "cold"})
-    told = (0.0, EventKind.LISTED, {"server": "s", "by": "n1", "ms": 5.0})
-    assert bool(checks.slow_start_kept(trace_of(start, told, *openings), {"s": 40.0})) is wrong
-    assert not checks.slow_start_kept(trace_of(start, *openings), {"s": 40.0}), "nobody had been told"
+    listed = (0.0, EventKind.LISTED, {"server": "s", "by": "n1", "ms": 5.0})
+    assert bool(checks.slow_start_kept(trace_of(start, listed, *openings), {"s": 40.0})) is violated
+    assert not checks.slow_start_kept(trace_of(start, *openings), {"s": 40.0}), (
+        "no balancer had it in its list"
+    )
--- a/tests/test_stage.py
+++ b/tests/test_stage.py
@@ -1,4 +1,4 @@
-"""The stage itself: scripts, relays, checkers over links that fail, what a trace tells, and whole stories."""
+"""Scripts, link relays, checkers with link faults, evaluation of traces, and complete plays of stories."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from puffinford.standins.trace import EventKind, Trace
 from tests.harness import Peer, harness, http_call, trace_of
 
-SMALL: dict[str, Any] = {"balancers": 3, "zones": 3, "servers": {"gw": {"count": 3}}}
+BASE_SCRIPT: dict[str, Any] = {"balancers": 3, "zones": 3, "servers": {"gw": {"count": 3}}}
 
 
 # Scripts
@@ -41,19 +41,19 @@
 @pytest.mark.parametrize(
     ("more", "place"),
     [
-        ({"balancers": 2.5}, "balancers: no whole number"),
+        ({"balancers": 2.5}, "balancers: not a whole number"),
         ({"rate": float("nan")}, "rate nan"),
         ({"busy": {"n9": 2}}, "busy.n9: .*names none"),
         ({"busy": {"n*": {"part": 0.5}}}, "busy.n.: not a mapping of part times"),
-        ({"busy": {"n1": 0}}, "times is not over 0"),
+        ({"busy": {"n1": 0}}, "times must be over 0"),
         ({"servers": {"gw": {"capacity": "big"}}}, "servers.gw.capacity 'big'"),
         ({"servers": []}, "servers: not a mapping"),
-        ({"events": {"at": 1}}, "events: no list"),
+        ({"events": {"at": 1}}, "events: not a list"),
         ({"events": [{"at": 1, "servers": "gw-1", "links": "n1 > gw-1"}]}, "entry 1: needs one of"),
         ({"events": [{"at": 1, "balancers": "n1", "do": "kill", "until": 3}]}, "entry 1: unknown: until"),
         ({"events": [{"at": 1, "balancers": "n1", "do": "descriptors none"}]}, "entry 1: .*descriptors"),
         ({"events": [{"at": 1, "balancers": "n1", "do": "crowd 0"}]}, "entry 1: .*crowd"),
-        ({"holding": 0.5}, "holding: no whole number"),
+        ({"holding": 0.5}, "holding: not a whole number"),
         ({"events": [{"at": 1, "servers": "zone:z9", "do": "crash"}]}, "entry 1: 'zone:z9' names none"),
         ({"events": [{"at": 1, "lists": "n1", "do": "late"}]}, "entry 1: 'late' is none"),
         ({"events": [{"at": 1, "lists": "n1", "do": "late 1e9"}]}, "entry 1: .*60000 ms"),
@@ -64,7 +64,7 @@
     more: dict[str, Any], place: str
 ) -> None:
     with pytest.raises(InvalidScript, match=place):
-        read_script({**SMALL, **more})
+        read_script({**BASE_SCRIPT, **more})
 
 
 def test_every_story_that_comes_with_the_program_can_be_read_at_any_size() -> None:
@@ -89,10 +89,10 @@
 
 
 def test_zones_and_the_busy_are_drawn_the_same_each_time() -> None:
-    told = {**SMALL, "balancers": 20, "busy": {"n*": {"part": 0.1, "times": 5}}}
-    one, again = read_script(told), read_script(told)
-    assert one.busy == again.busy and list(one.busy.values()) == [5.0, 5.0]
-    assert one.balancer_zones["n4"] == "z1" and one.servers["gw-3"].zone == "z3"
+    source = {**BASE_SCRIPT, "balancers": 20, "busy": {"n*": {"part": 0.1, "times": 5}}}
+    first, second = read_script(source), read_script(source)
+    assert first.busy == second.busy and list(first.busy.values()) == [5.0, 5.0]
+    assert first.balancer_zones["n4"] == "z1" and first.servers["gw-3"].zone == "z3"
 
 
 @pytest.mark.parametrize(("words", "error"), [(["no-such-story"], "No such file"), (["{file}"], "entry 1")])
@@ -106,11 +106,11 @@
     assert main(["stage", "list"]) == 0 and "frozen" in capsys.readouterr().out
 
 
-# Relays and the play's own parties
+# Relay processes, and parties that end during a play
 
 
 @pytest.mark.anyio
-async def test_links_in_relay_processes_pass_lines_on_fail_as_told_and_end_with_them() -> None:
+async def test_links_in_relay_processes_forward_lines_fail_as_commanded_and_end_with_them() -> None:
     async with harness() as here:
 
         async def echo(peer: Peer) -> None:
@@ -121,38 +121,38 @@
             await echo(Peer(stream))
 
         port = await here.listen(handle)
-        async with start_relays(2) as made:
-            await made.add_links(1, {"a>x": port, "a>y": port})
-            await made.add_links(2, {"b>x": port})
-            assert len(set(made.ports.values())) == 3
+        async with start_relays(2) as links:
+            await links.add_links(1, {"a>x": port, "a>y": port})
+            await links.add_links(2, {"b>x": port})
+            assert len(set(links.ports.values())) == 3
             lines = [
-                LineStream(await anyio.connect_tcp(HOST, made.ports[name])) for name in ("a>x", "a>y", "b>x")
+                LineStream(await anyio.connect_tcp(HOST, links.ports[name])) for name in ("a>x", "a>y", "b>x")
             ]
             for line in lines:
                 await line.send_line(b"one")
             assert [await line.next() for line in lines] == [b"one"] * 3
-            await made.set_fault(["a>y", "b>x"], "rst")
+            await links.set_fault(["a>y", "b>x"], "rst")
             assert [await line.next() for line in lines[1:]] == [LineStream.RST] * 2
             await lines[0].send_line(b"two")
             assert await lines[0].next() == b"two"
-            await made.poll_lateness()
-            assert made.max_lateness_ms < 1_000.0
+            await links.poll_lateness()
+            assert links.max_lateness_ms < 1_000.0
             with pytest.raises(RelayEnded, match=r"relay 2: .*sing"):
-                await made.set_fault(["a>x"], "sing")
+                await links.set_fault(["a>x"], "sing")
         assert await lines[0].next() in (LineStream.FIN, LineStream.RST), "with its process"
         here.tasks.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize("party", ["balancer", "relay"])
 def test_a_story_in_which_a_party_is_missing_is_no_green_one(party: str, tmp_path: Path) -> None:
-    story = {**SMALL, "seconds": 30.0, "events": [{"at": 0.1, "links": "n1 > gw-1", "do": "hold"}]}
+    story = {**BASE_SCRIPT, "seconds": 30.0, "events": [{"at": 0.1, "links": "n1 > gw-1", "do": "hold"}]}
     play = Play(read_script(story), tmp_path)
 
     def end(relay: anyio.abc.Process | None = None) -> None:
         if party == "balancer":
             play.balancers[1].signal(9)
         else:
-            play.relays._parts[0]._process.kill()
+            play.relays._processes[0]._process.kill()
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
@@ -173,11 +173,11 @@
     assert not any(balancer.running for balancer in play.balancers)
 
 
-# Checkers over links that fail
+# Checkers while links fail
 
 
 @pytest.mark.parametrize(("until", "late"), [(6_000.0, 0), (2_000.0, 1)])
-def test_what_a_failed_link_to_discovery_held_back_counts_as_told_when_it_is_sound(
+def test_what_a_failed_link_to_discovery_held_back_counts_as_listed_when_it_is_sound(
     until: float, late: int
 ) -> None:
     trace = trace_of(
@@ -189,18 +189,18 @@
     assert len(checks.draining_servers_spared(trace)) == late
 
 
-def test_what_is_missed_counts_as_told_though_the_link_never_comes_back() -> None:
+def test_what_is_missed_counts_as_listed_though_the_link_never_comes_back() -> None:
     trace = trace_of(
         (1_000.0, EventKind.FAULT, {"by": "n1>discovery", "detail": "drop"}),
         (1_500.0, EventKind.LISTED, {"server": "a", "detail": "leaving", "by": "n1"}),
         (10_900.0, EventKind.ATTEMPT, {"job": "early", "server": "a", "by": "n1", "detail": "1"}),
         (11_100.0, EventKind.ATTEMPT, {"job": "late", "server": "a", "by": "n1", "detail": "2"}),
     )
-    assert [breach.partition(":")[0] for breach in checks.draining_servers_spared(trace)] == ["late"]
+    assert [violation.partition(":")[0] for violation in checks.draining_servers_spared(trace)] == ["late"]
 
 
 @pytest.mark.parametrize(("link", "broken"), [("n1>a", 0), ("n1>b", 1)])
-def test_a_claim_behind_a_link_that_passes_nothing_is_not_taken_for_out(link: str, broken: int) -> None:
+def test_an_attempt_behind_a_link_that_passes_nothing_is_not_taken_for_active(link: str, broken: int) -> None:
     trace = trace_of(
         (0.0, EventKind.REQUESTED, {"job": "j", "by": "n1"}),
         (100.0, EventKind.FAULT, {"by": link, "detail": "hold there"}),
@@ -211,11 +211,11 @@
         (2_500.0, EventKind.ATTEMPT_END, {"job": "j", "server": "c", "detail": "2"}),
     )
     assert len(checks.no_overlapping_attempts(trace)) == broken
-    assert {entry.by for entry in trace.of(EventKind.ATTEMPT)} == {"n1"}, "named by where its client went"
+    assert {entry.by for entry in trace.of(EventKind.ATTEMPT)} == {"n1"}, "taken from the request"
 
 
 @pytest.mark.anyio
-async def test_one_balancer_is_told_its_lists_another_way() -> None:
+async def test_one_balancer_gets_its_lists_in_another_form() -> None:
     async with harness() as here:
         trace = Trace(here.clock.now)
         discovery = Discovery(here.clock, trace, here.tasks)
@@ -234,35 +234,35 @@
         assert await listed("n1") == [f"s-{n}" for n in reversed(range(6))]
         assert await listed("n2") == ["s-0", "s-1", "s-2", "s-3"]
         gone = {(entry.server, entry.by) for entry in trace.of(EventKind.LISTED) if entry.detail == "left"}
-        assert gone == {("s-4", "n2"), ("s-5", "n2")}, "what a whole list does not name is gone"
+        assert gone == {("s-4", "n2"), ("s-5", "n2")}, "entries missing in a full list have left"
         here.tasks.cancel_scope.cancel()
 
 
-# What is read from a trace
+# Evaluation of traces
 
 
-def stood(*counts: Sequence[int]) -> list[LoadSample]:
+def load_samples(*counts: Sequence[int]) -> list[LoadSample]:
     return [LoadSample(1_000.0 * n, tuple(row)) for n, row in enumerate(counts)]
 
 
 def test_evenness_goes_by_what_each_server_should_carry() -> None:
-    even = evenness(stood((20, 40), (20, 40)), [1.0, 2.0])
+    even = evenness(load_samples((20, 40), (20, 40)), [1.0, 2.0])
     assert (
         even is not None
         and even.highest_ratio == even.lowest_ratio == even.worst_window_ratio == 1.0
         and even.mean_connections == 30.0
     )
-    skew = evenness(stood((40, 20), (20, 40)), [1.0, 1.0])
+    skew = evenness(load_samples((40, 20), (20, 40)), [1.0, 1.0])
     assert (
         skew is not None
         and skew.highest_ratio == pytest.approx(4 / 3)
         and skew.worst_window_ratio == pytest.approx(1.0)
     )
-    assert evenness([], [1.0]) is None and evenness(stood((0, 0)), [1.0, 1.0]) is None
+    assert evenness([], [1.0]) is None and evenness(load_samples((0, 0)), [1.0, 1.0]) is None
     assert 1.3 < random_placement_ratio(900, [1.0] * 30, random.Random(1)) < 1.6
 
 
-def test_loads_idle_servers_and_refusals_with_room_are_counted() -> None:
+def test_loads_idle_servers_and_refusals_with_free_capacity_are_counted() -> None:
     entries: list[tuple[float, EventKind, dict[str, Any]]] = [
         (float(n), EventKind.UP, {"job": f"j{n}", "server": "a"}) for n in range(100)
     ]
@@ -275,9 +275,9 @@
     rows = sample_loads(trace, ["a", "b"], 1_000.0, 3_000.0)
     assert [row.connections for row in rows] == [(100, 0), (100, 0), (99, 0)]
     assert idle_servers(rows, ["a", "b"], {"a": 0.0, "b": 0.0}) == ["b"]
-    assert idle_servers(rows, ["a", "b"], {"a": 0.0, "b": 1_500.0}) == [], "two seconds are not over"
+    assert idle_servers(rows, ["a", "b"], {"a": 0.0, "b": 1_500.0}) == [], "the grace period is not over"
     assert refusals_with_free_capacity(trace, {"a": 100.0, "b": 100.0}, 0.0, 4_000.0) == 1, (
-        "a full one and a silent one"
+        "a full server and a silent server"
     )
 
 
@@ -303,7 +303,7 @@
     assert (tmp_path / "play.png").stat().st_size > 10_000
 
 
-# Whole stories, with five real balancers
+# Complete stories, with real balancers
 
 
 @pytest.mark.parametrize("name", ["deaf", "lists", "rolling", "starts", "two"])
@@ -314,8 +314,8 @@
     trace = anyio.run(Play(script, tmp_path).run)
     report = Report(trace, script)
     assert report.violations == []
-    turned, with_room = report.count_refusals()
-    assert with_room <= 0.02 * len(list(trace.of(EventKind.REQUESTED))), turned
+    refused, with_free_capacity = report.count_refusals()
+    assert with_free_capacity <= 0.02 * len(list(trace.of(EventKind.REQUESTED))), refused
     assert {span.do for span in report.faults} >= {
         event.do for event in script.events if event.whom != "server"
     }
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -12,7 +12,7 @@
 import pytest
 
 from puffinford.core.clock import Clock
-from puffinford.stage.demo import SCRIPT
+from puffinford.stage.demo import DEMO_SCRIPT
 from puffinford.stage.play import Play
 from puffinford.stage.report import Report, rule_violations
 from puffinford.stage.script import InvalidScript, read_script
@@ -273,7 +273,7 @@
 
 def test_a_play_of_seconds_keeps_the_rules(tmp_path: Path) -> None:
     """The demo's fleet with a balancer that is killed and comes back, shortened."""
-    script = read_script(SCRIPT)
+    script = read_script(DEMO_SCRIPT)
     script.seconds, script.rate = 3.0, 30.0
     told = {"servers": {"gw": {"count": 4}}, "events": [{"at": 1.0, "balancer": 1, "do": "restart"}]}
     script.events = [
