--- a/puffinford/stage/crowds.py
+++ b/puffinford/stage/crowds.py
@@ -49,7 +49,7 @@
         self._scopes: dict[str, anyio.CancelScope] = {}
 
     def start(self, name: str, port: int, number: int) -> None:
-        """Connect `number` idle clients to a balancer; they stay until `stop` or a close."""
+        """Connect `number` idle clients to a balancer, until `stop` or until it closes them."""
         self.stop(name)
         scope = self._scopes[name] = anyio.CancelScope()
         self._tasks.start_soon(self._crowd, scope, port, number)
