--- a/benchmarks/rebalance/story.py
+++ b/benchmarks/rebalance/story.py
@@ -9,7 +9,7 @@
 import anyio
 
 from puffinford.stage.play import Play
-from puffinford.stage.report import rules
+from puffinford.stage.report import rule_violations
 from puffinford.stage.script import Event, Script
 from puffinford.standins import checks
 from puffinford.standins.clients import ClientClass
@@ -134,7 +134,7 @@
     result.cold = checks.cold_servers_not_flooded(
         trace, dict.fromkeys(RESTARTED, WARM_CONNECTIONS_PER_S), COLD_FROM, WARM_UP_MS
     )
-    result.broken = rules(trace, trace.elapsed - 3_000.0)
+    result.broken = rule_violations(trace, trace.elapsed - 3_000.0)
     before = sorted(e.ms for e in trace.of(EventKind.ANSWERED) if e.at < crash)
     during = sorted(e.ms for e in trace.of(EventKind.ANSWERED) if e.at >= restart)
     if before and during:
--- a/benchmarks/spread/model.py
+++ b/benchmarks/spread/model.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from puffinford.stage.spread import Evenness, Second, evenness
+from puffinford.stage.spread import Evenness, LoadSample, evenness
 from puffinford.standins.fleet import Fleet
 
 SAMPLE_INTERVAL_MS = 1_000.0
@@ -33,7 +33,7 @@
     rng = random.Random(seed ^ 0x5B)
     weights = [(crowd.busy or {}).get(balancer, 1.0) for balancer in range(crowd.balancers)]
     ends: list[tuple[float, str]] = []
-    samples: list[Second] = []
+    samples: list[LoadSample] = []
     started_at, next_arrival, next_sample = fleet.now, fleet.now, fleet.now + WARM_UP_MS
     while next_arrival < started_at + seconds * 1_000.0:
         next_arrival += rng.expovariate(crowd.standing / crowd.lifetime_ms)
@@ -46,7 +46,7 @@
             fleet.advance(next_sample)
             held = fleet.held()
             samples.append(
-                Second(next_sample - started_at, tuple(held[server.id] for server in fleet.servers))
+                LoadSample(next_sample - started_at, tuple(held[server.id] for server in fleet.servers))
             )
             next_sample += SAMPLE_INTERVAL_MS
         fleet.advance(next_arrival)
@@ -66,9 +66,9 @@
         if result is not None:
             found.append(result)
     return {
-        "fullest": statistics.mean(result.fullest for result in found),
-        "emptiest": statistics.mean(result.emptiest for result in found),
-        "worst": max(result.worst for result in found),
-        "chance": statistics.mean(result.chance for result in found),
+        "fullest": statistics.mean(result.highest_ratio for result in found),
+        "emptiest": statistics.mean(result.lowest_ratio for result in found),
+        "worst": max(result.worst_window_ratio for result in found),
+        "chance": statistics.mean(result.random_highest_ratio for result in found),
         "us": statistics.mean(us),
     }
--- a/benchmarks/start/story.py
+++ b/benchmarks/start/story.py
@@ -12,7 +12,7 @@
 
 from puffinford.core.state_path import state_path
 from puffinford.stage.play import Play
-from puffinford.stage.report import rules
+from puffinford.stage.report import rule_violations
 from puffinford.stage.script import Script
 from puffinford.standins.balancer import BalancerProcess
 from puffinford.standins.clients import ClientClass
@@ -82,7 +82,7 @@
         if entry.server in SILENT_SERVERS:
             silent_attempts.setdefault(entry.job, set()).add(entry.server)
     outcome.dead_paid_twice = sum(len(servers) > 1 for servers in silent_attempts.values())
-    outcome.broken = rules(trace, until)
+    outcome.broken = rule_violations(trace, until)
     answered = {entry.job for entry in trace.of(*ANSWERS)}
     outcome.broken += [f"{request_id}: no answer" for request_id in asked - answered]
     return outcome
--- a/puffinford/cli/stage.py
+++ b/puffinford/cli/stage.py
@@ -63,10 +63,10 @@
     The exit code is 1 if a rule was broken, and 2 if the story could not be run.
     """
     try:
-        from puffinford.stage.play import Failed, Play
+        from puffinford.stage.play import Play, PlayFailed
         from puffinford.stage.report import Report
-        from puffinford.stage.script import BadScript, read_script
-        from puffinford.stage.watching import watched
+        from puffinford.stage.script import InvalidScript, read_script
+        from puffinford.stage.watching import run_with_progress
     except ImportError as exc:
         return fail(f"{exc}; the stage needs the packages of requirements-stage.txt")
     path = Path(story)
@@ -77,32 +77,32 @@
         script = read_script(path, **{name: value for name, value in overrides.items() if value is not None})
         if logs is not None:
             logs.mkdir(parents=True, exist_ok=True)
-    except (BadScript, OSError) as exc:
-        return fail(f"{path}: {exc}" if isinstance(exc, BadScript) else str(exc))
+    except (InvalidScript, OSError) as exc:
+        return fail(f"{path}: {exc}" if isinstance(exc, InvalidScript) else str(exc))
     started_at = time.monotonic()
     with tempfile.TemporaryDirectory() if logs is None else nullcontext(str(logs)) as directory:
         played = Play(script, Path(directory))
         try:
-            trace = anyio.run(watched, played, not as_json)
-        except Failed as exc:
+            trace = anyio.run(run_with_progress, played, not as_json)
+        except PlayFailed as exc:
             return fail(f"{path}: {exc}")
     report = Report(trace, script)
     if picture is not None:
-        report.picture(picture)
+        report.write_chart(picture)
     if as_json:
         results = {
-            **report.figures(),
+            **report.metrics(),
             "seconds": round(time.monotonic() - started_at, 1),
-            "rules": report.broken,
+            "rules": report.violations,
         }
         click.echo(json.dumps(results, indent=1))
     else:
         click.echo(report.text())
         relays = played.relays
-        summary = f"{len(relays.ports)} links, forwarding at most {relays.lateness:.0f} ms late"
-        summary += f"; the story's own events by at most {played.lateness:.0f} ms"
+        summary = f"{len(relays.ports)} links, forwarding at most {relays.max_lateness_ms:.0f} ms late"
+        summary += f"; the story's own events by at most {played.max_lateness_ms:.0f} ms"
         click.echo(f"\n{script.balancers} balancers, {summary}")
-    if report.broken:
+    if report.violations:
         raise SystemExit(1)
 
 
@@ -120,26 +120,26 @@
 
     The exit code is 1 if a rule was broken or a story could not be run.
     """
-    from puffinford.stage.play import Failed, Play
-    from puffinford.stage.soak import breaches, draw
+    from puffinford.stage.play import Play, PlayFailed
+    from puffinford.stage.soak import find_violations, generate_script
 
     broken = 0
     for seed in range(first, first + seeds):
-        script = draw(seed, balancers)
+        script = generate_script(seed, balancers)
         with tempfile.TemporaryDirectory() if logs is None else nullcontext(str(logs)) as directory:
             log_directory = Path(directory, f"seed-{seed}")
             log_directory.mkdir(parents=True, exist_ok=True)
             played = Play(script, log_directory)
             try:
                 trace = anyio.run(played.run)
-            except Failed as exc:
+            except PlayFailed as exc:
                 violations, requests = [f"not run: {exc}"], 0
             else:
-                violations = breaches(trace, script, played.lateness)
+                violations = find_violations(trace, script, played.max_lateness_ms)
                 requests = sum(trace.count(EventKind.REQUESTED).values())
         broken += bool(violations)
         head = f"seed {seed}: {script.balancers} balancers, {len(script.servers)} servers, {requests} asked"
-        head += f", {played.lateness:.0f} ms late"
+        head += f", {played.max_lateness_ms:.0f} ms late"
         click.echo(
             "\n  ".join(
                 [f"{head}: {'kept' if not violations else f'{len(violations)} broken'}", *violations[:8]]
--- a/tests/test_relay_age.py
+++ b/tests/test_relay_age.py
@@ -108,7 +108,7 @@
     async def start_balancer(self, relays: list[Link], seed: int) -> None:
         """Start a balancer that prefers the first relay, once the relays have their list."""
         await self.pass_time(1_000.0)
-        addresses = [("127.0.0.1", link.number) for link in relays]
+        addresses = [("127.0.0.1", link.port) for link in relays]
         unused_address = ("127.0.0.1", 1)
         rng = random.Random(seed)
         watch = DiscoveryWatch(unused_address, None, self.clock, self._apply, False, rng, addresses)
@@ -162,10 +162,10 @@
     chains = []
     for _ in range(count):
         upstream_links = [fleet.link(port)]
-        relay_port = await fleet.start_relay(upstream_links[0].number, tiers, tiers == ONE_TIER, max_age)
+        relay_port = await fleet.start_relay(upstream_links[0].port, tiers, tiers == ONE_TIER, max_age)
         if tiers == TWO_TIERS:
             upstream_links.append(fleet.link(relay_port))
-            relay_port = await fleet.start_relay(upstream_links[1].number, tiers, True, max_age)
+            relay_port = await fleet.start_relay(upstream_links[1].port, tiers, True, max_age)
         chains.append(Chain(upstream_links, fleet.link(relay_port)))
     return source, chains
 
@@ -180,13 +180,17 @@
         source, (first, second, third) = await start_chains(fleet, tiers, 3, 2_000.0)
         await fleet.start_balancer([first.link, second.link, third.link], 1 + int(phase) % 7)
         await fleet.pass_time(2_500.0 + phase)
-        assert fleet.state is ServerState.LIVE and not second.link.lines and not third.link.lines
+        assert (
+            fleet.state is ServerState.LIVE
+            and not second.link.accepted_connections
+            and not third.link.accepted_connections
+        )
 
         async def hold(link: Link, after: float) -> None:
             await fleet.clock.sleep(after)
-            await link.become(Fault("hold"))
+            await link.set_fault(Fault("hold"))
 
-        await first.upstream_links[0].become(Fault("hold"))
+        await first.upstream_links[0].set_fault(Fault("hold"))
         source.drain()
         for link in first.upstream_links[1:]:
             # The upper relay falls silent shortly before its list becomes too old.
@@ -202,7 +206,7 @@
         source, (first, second) = await start_chains(fleet, tiers, 2, max_age)
         await fleet.start_balancer([first.link, second.link], 1)
         await fleet.pass_time(3_000.0)
-        await first.upstream_links[0].become(Fault("hold"))
+        await first.upstream_links[0].set_fault(Fault("hold"))
         source.drain()
         return await fleet.pass_time(2 * MAX_DELAY_MS, fleet.knows_of_drain)
 
@@ -235,12 +239,12 @@
         await fleet.start_balancer([chain.link for chain in relays], 1)
         await fleet.pass_time(3_000.0)
         for link in upstream_links:
-            await link.become(Fault("rst"))
+            await link.set_fault(Fault("rst"))
         source.drain()
         await fleet.pass_time(down)
         assert fleet.state is ServerState.LIVE, "the last list stays in use"
         for link in upstream_links:
-            await link.become(Fault())
+            await link.set_fault(Fault())
         assert await fleet.pass_time(MAX_DELAY_MS, fleet.knows_of_drain) <= MAX_DELAY_MS - 1_000.0
 
 
@@ -250,17 +254,17 @@
         old, new = Source(fleet.clock), Source(fleet.clock, version=8)
         ports = [await fleet.start_source(old), await fleet.start_source(new)]
         links = [fleet.link(await fleet.start_relay(port, ONE_TIER, True, 2_000.0)) for port in ports]
-        await links[0].become(Fault("rst"))
+        await links[0].set_fault(Fault("rst"))
         await fleet.start_balancer(links, 1)
         await fleet.pass_time(3_000.0)
         new.drain()
         await fleet.pass_time(1_000.0)
         assert fleet.versions[-1] == 9 and fleet.knows_of_drain()
-        await links[1].become(Fault("hold"))
-        await links[0].become(Fault())
+        await links[1].set_fault(Fault("hold"))
+        await links[0].set_fault(Fault())
         await fleet.pass_time(9_000.0)
         assert fleet.knows_of_drain(), "an older list repeated by the same relay alone is not trusted"
-        await links[1].become(Fault())
+        await links[1].set_fault(Fault())
         new.drain()
         await fleet.pass_time(3_000.0)
         assert fleet.versions[-1] == 10 and fleet.versions == sorted(fleet.versions)
--- a/tests/test_relay_processes.py
+++ b/tests/test_relay_processes.py
@@ -1,4 +1,4 @@
-"""Relays and balancers as real processes on loopback, with faults in and between them."""
+"""LinkRelays and balancers as real processes on loopback, with faults in and between them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from puffinford.cli import main
 from puffinford.core.clock import Clock
 from puffinford.server_list.endpoints import rendezvous_order
-from puffinford.stage.relays import Relays, relays
+from puffinford.stage.relays import LinkRelays, start_relays
 from puffinford.standins.discovery import Discovery
 from puffinford.standins.trace import Trace
 from tests.harness import Peer, Program, opening, program
@@ -51,7 +51,9 @@
 class Site:
     """A list service, its servers, and the relay and balancer processes started beside them."""
 
-    def __init__(self, tasks: anyio.abc.TaskGroup, links: Relays, stack: AsyncExitStack, path: Path) -> None:
+    def __init__(
+        self, tasks: anyio.abc.TaskGroup, links: LinkRelays, stack: AsyncExitStack, path: Path
+    ) -> None:
         clock = Clock()
         self.tasks, self.links, self.path = tasks, links, path
         self.servers = Servers(tasks)
@@ -109,7 +111,7 @@
 @asynccontextmanager
 async def running_site(path: Path) -> AsyncIterator[Site]:
     with anyio.fail_after(60):
-        async with anyio.create_task_group() as tasks, relays(1) as links:
+        async with anyio.create_task_group() as tasks, start_relays(1) as links:
             async with AsyncExitStack() as stack:
                 site = Site(tasks, links, stack, path)
                 await site.start()
@@ -176,11 +178,11 @@
 
 async def test_a_relay_that_is_cut_off_says_so_and_balancers_serve_by_the_last_list(tmp_path: Path) -> None:
     async with running_site(tmp_path) as site:
-        await site.links.make(0, {"r1": int(site.source.address.partition(":")[2])})
+        await site.links.add_links(0, {"r1": int(site.source.address.partition(":")[2])})
         relay, port = await site.start_relay("r1", site.links.ports["r1"])
         balancers = [await site.start_balancer("n1", [port])]
         version = site.source.registry.version
-        await site.links.become(["r1"], "hold")
+        await site.links.set_fault(["r1"], "hold")
         site.source.put("s-1", state="leaving")
         await relay.wait_for_log(b"level=warning .*event=stale age_ms=")
         assert [(await fetch_list(port, query))[0] for query in ("", f"?index={version}&wait=0")] == [
@@ -190,7 +192,7 @@
         await balancers[0][0].wait_for_log(b'event="discovery failed" .*503')
         while not all(site.servers.openings.values()):  # by its last list, with both servers active
             assert await site.send_request(balancers[0][1]) == b"UP r1\r\n"
-        await site.links.become(["r1"], "sound")
+        await site.links.set_fault(["r1"], "sound")
         await relay.wait_for_log(b"event=fresh version=")
         await check_drained(site, balancers)
 
