--- a/benchmarks/capacity/ranking.py
+++ b/benchmarks/capacity/ranking.py
@@ -1,7 +1,7 @@
-"""Which quantities are over their budgets by today's mechanisms, and what is built first.
+"""Ranking of quantities by how far they exceed their budgets with today's mechanisms.
 
-Ranked is what the program does today, or would do with what it has, at the operators' size. Of the quantities
-over their budgets that this program can bring under them by the protocol it has, the greatest comes first.
+The quantities are computed for the size of the targeted fleet. The first to build is the highest-ranked
+quantity over its budget that this program can reduce with its present protocol.
 """
 
 from __future__ import annotations
@@ -9,172 +9,172 @@
 from benchmarks.capacity import balancer, configuration, delivery, lists, reconnecting, shards
 from benchmarks.capacity.inputs import Inputs
 from benchmarks.capacity.quantity import assumed
-from benchmarks.capacity.roles import Carrier, Ranked
+from benchmarks.capacity.roles import RankedQuantity, Remedy
 
 
-def ranking(inputs: Inputs) -> list[Ranked]:
-    """All ranked quantities, the greatest multiple of its budget first and the unmeasured ones last."""
-    entries = [*_fleet(inputs), *_balancer(inputs)]
+def ranking(inputs: Inputs) -> list[RankedQuantity]:
+    """All ranked quantities, largest multiple of the budget first, unmeasured ones last."""
+    entries = [*_fleet_entries(inputs), *_balancer_entries(inputs)]
     return sorted(
         entries, key=lambda entry: -(entry.multiple.value if entry.multiple.value is not None else -1.0)
     )
 
 
-def first(entries: list[Ranked]) -> Ranked | None:
-    """What is built first: the greatest over its budget that the program can carry."""
-    return next((entry for entry in over(entries) if entry.carrier is Carrier.PROGRAM), None)
+def first_to_build(entries: list[RankedQuantity]) -> RankedQuantity | None:
+    """The highest-ranked quantity over its budget that this program can reduce; None if there is none."""
+    return next((entry for entry in over_budget(entries) if entry.remedy is Remedy.THIS_PROGRAM), None)
 
 
-def over(entries: list[Ranked]) -> list[Ranked]:
-    """The entries that are over their budgets."""
+def over_budget(entries: list[RankedQuantity]) -> list[RankedQuantity]:
+    """The entries that exceed their budgets."""
     return [entry for entry in entries if (entry.multiple.value or 0.0) > 1.0]
 
 
-def _fleet(inputs: Inputs) -> list[Ranked]:
+def _fleet_entries(inputs: Inputs) -> list[RankedQuantity]:
     zone = reconnecting.zone_loss(inputs)
-    spread = assumed(inputs.targets.assumed.return_within_s.value, "s")
-    herd = reconnecting.herd_rate(zone)
-    rate = reconnecting.admission_rate(inputs, reconnecting.connection_cost(inputs))
-    within = inputs.in_force_within
+    return_deadline = assumed(inputs.targets.assumed.return_within_s.value, "s")
+    herd_rate = reconnecting.herd_rate(zone)
+    admission_rate = reconnecting.admission_rate(inputs, reconnecting.connection_cost(inputs))
+    change_deadline = inputs.change_deadline
     return [
-        Ranked(
+        RankedQuantity(
             "largest topic written by one process alone",
-            delivery.alone(inputs),
-            delivery.within(inputs),
-            Carrier.PROTOCOL,
-            "a tree needs a protocol for topics; what a topic is to a balancer is asked first",
+            delivery.single_process_time(inputs),
+            delivery.delivery_deadline(inputs),
+            Remedy.NEW_PROTOCOL,
+            "a tree needs a protocol for topics, and a definition of a topic for balancers",
         ),
-        Ranked(
+        RankedQuantity(
             "all shards in a balancer, each held as a server is today",
-            shards.as_servers(inputs),
+            shards.memory_as_servers(inputs),
             inputs.memory_budget,
-            Carrier.ANOTHER,
-            "nothing holds shards today; avoided by hashing to slots, which a store of another system holds",
+            Remedy.OTHER_SYSTEM,
+            "nothing holds shards today; avoided by hashing to slots, kept in another system's store",
         ),
-        Ranked(
-            "one change at the last process, where each of a balancer's asks the list service directly",
+        RankedQuantity(
+            "one change at the last process, every process calling the list service directly",
             lists.direct_time_by_process(inputs),
-            within,
-            Carrier.PROGRAM,
-            "relays fan it out by the same protocol; one on each balancer's machine is one more tier",
+            change_deadline,
+            Remedy.THIS_PROGRAM,
+            "relays distribute it with the same protocol; one on each balancer's machine is one more tier",
         ),
-        Ranked(
-            "one change at the last balancer, list service asked directly, by arithmetic",
+        RankedQuantity(
+            "one change at the last balancer, calling the list service directly, computed",
             lists.direct_time(inputs),
-            within,
-            Carrier.PROGRAM,
-            "relays fan it out by the same protocol",
-        ),
-        Ranked(
-            "one change at the last balancer, list service asked directly, as measured",
-            lists.measured_told(inputs, "last"),
-            within,
-            Carrier.PROGRAM,
-            "relays, as by arithmetic",
-        ),
-        Ranked(
-            "calls at the list service when nothing changes, directly",
+            change_deadline,
+            Remedy.THIS_PROGRAM,
+            "relays distribute it with the same protocol",
+        ),
+        RankedQuantity(
+            "one change at the last balancer, calling the list service directly, measured",
+            lists.measured_notification_time(inputs, "last"),
+            change_deadline,
+            Remedy.THIS_PROGRAM,
+            "relays, as for the computed value",
+        ),
+        RankedQuantity(
+            "calls to the list service without changes, directly",
             lists.idle_calls(inputs),
-            inputs.list_rate,
-            Carrier.PROGRAM,
-            "relays: calls at the source grow with them, not with balancers",
+            inputs.list_service_rate,
+            Remedy.THIS_PROGRAM,
+            "relays: calls at the source scale with relays, not with balancers",
         ),
-        Ranked(
+        RankedQuantity(
             "a list at the last balancer after all watches were reset",
             lists.reset_time(inputs),
-            within,
-            Carrier.PROGRAM,
-            "relays, which keep the list and a log of changes, and admit whole lists in turns",
+            change_deadline,
+            Remedy.THIS_PROGRAM,
+            "relays, which keep the list and a log of changes, and limit concurrent full lists",
         ),
-        Ranked(
-            "answers of the list service in the mean of a day, each change to each balancer by itself",
+        RankedQuantity(
+            "mean answers of the list service over a day, each change to each balancer separately",
             configuration.direct_answers(inputs),
-            inputs.list_rate,
-            Carrier.PROGRAM,
+            inputs.list_service_rate,
+            Remedy.THIS_PROGRAM,
             "relays, and coalescing",
         ),
-        Ranked(
-            "a lost zone's clients, all back within a second, without cryptography",
-            herd,
-            rate,
-            Carrier.ANOTHER,
-            "jitter is the clients'; admission by the balancer's processor time would be the program's",
+        RankedQuantity(
+            "a lost zone's clients, all reconnecting within a second, without cryptography",
+            herd_rate,
+            admission_rate,
+            Remedy.OTHER_SYSTEM,
+            "needs jitter in the clients; this program could admit by its processor time",
         ),
-        Ranked(
-            "a lost zone's clients, back as fast as processors allow, with cryptography",
-            zone.encrypted,
-            spread,
-            Carrier.PROCESSES,
-            "scales with processes; cryptography is not wanted now",
+        RankedQuantity(
+            "a lost zone's clients, reconnecting as fast as processors allow, with cryptography",
+            zone.encrypted_time,
+            return_deadline,
+            Remedy.MORE_PROCESSES,
+            "scales with processes; cryptography is not required now",
         ),
     ]
 
 
-def _balancer(inputs: Inputs) -> list[Ranked]:
-    many = inputs.server_counts[-1]
-    mean = inputs.changes_per_s.value or 0.0
+def _balancer_entries(inputs: Inputs) -> list[RankedQuantity]:
+    max_servers = inputs.server_counts[-1]
+    mean_rate = inputs.changes_per_s.value or 0.0
     return [
-        Ranked(
+        RankedQuantity(
             "deliveries of a balancer in one process",
-            inputs.data_cores,
-            inputs.process_cores,
-            Carrier.PROCESSES,
-            "scales with processes, each a balancer of its own today",
-        ),
-        Ranked(
-            f"memory of control in all of a balancer's processes, {many:,} servers",
-            balancer.memory_of_all(inputs, many),
+            inputs.delivery_cores,
+            inputs.process_core_budget,
+            Remedy.MORE_PROCESSES,
+            "scales with processes, each a separate balancer today",
+        ),
+        RankedQuantity(
+            f"memory of control in all of a balancer's processes, {max_servers:,} servers",
+            balancer.memory_all_processes(inputs, max_servers),
             inputs.memory_budget,
-            Carrier.SHAPE,
-            "control in one process beside those of the data path; most of it is the interpreter's",
+            Remedy.NEW_ARCHITECTURE,
+            "control in one process, separate from the data path; most of the memory is the interpreter's",
         ),
-        Ranked(
+        RankedQuantity(
             "processor time of all of a balancer's processes, connections at rest",
-            balancer.rest_of_all(inputs),
+            balancer.idle_core_pct_all_processes(inputs),
             inputs.core_budget,
-            Carrier.PROGRAM,
-            "what looks at each connection in turn could wait for the one that is due",
-        ),
-        Ranked(
-            f"largest burst change by change, {many:,} servers, until it is taken",
-            balancer.burst_time(inputs, many),
-            inputs.in_force_within,
-            Carrier.PROGRAM,
-            "coalescing, which comes with relays, makes one call of the module out of many changes",
-        ),
-        Ranked(
-            f"largest burst change by change, {many:,} servers, of a core over the budget's window",
-            configuration.burst_core(inputs, many),
+            Remedy.THIS_PROGRAM,
+            "periodic checks of all connections could be replaced by timers",
+        ),
+        RankedQuantity(
+            f"largest burst change by change, {max_servers:,} servers, until it is applied",
+            balancer.burst_time(inputs, max_servers),
+            inputs.change_deadline,
+            Remedy.THIS_PROGRAM,
+            "coalescing, part of relays, merges many changes into one call of the module",
+        ),
+        RankedQuantity(
+            f"largest burst change by change, {max_servers:,} servers, of a core over the budget's window",
+            configuration.burst_core(inputs, max_servers),
             inputs.core_budget,
-            Carrier.PROGRAM,
+            Remedy.THIS_PROGRAM,
             "coalescing",
         ),
-        Ranked(
+        RankedQuantity(
             "bytes of the largest burst at a balancer, over the budget's window",
             configuration.burst_bytes(inputs),
             inputs.bytes_budget,
-            Carrier.PROGRAM,
+            Remedy.THIS_PROGRAM,
             "none needed",
         ),
-        Ranked(
-            f"memory of control in one process, {many:,} servers",
-            balancer.control_memory(inputs, many),
+        RankedQuantity(
+            f"memory of control in one process, {max_servers:,} servers",
+            balancer.control_memory(inputs, max_servers),
             inputs.memory_budget,
-            Carrier.PROGRAM,
-            "subsetting would bound what grows with servers",
+            Remedy.THIS_PROGRAM,
+            "subsetting would bound the part that grows with servers",
         ),
-        Ranked(
-            f"processor time of control in one process, {many:,} servers, told mean of changes",
-            balancer.control_core(inputs, many, mean),
+        RankedQuantity(
+            f"processor time of control in one process, {max_servers:,} servers, mean rate of changes",
+            balancer.control_core_pct(inputs, max_servers, mean_rate),
             inputs.core_budget,
-            Carrier.PROGRAM,
+            Remedy.THIS_PROGRAM,
             "subsetting would bound it",
         ),
-        Ranked(
-            f"bytes of control, {many:,} servers, told mean of changes",
-            balancer.control_bytes(inputs, many, mean),
+        RankedQuantity(
+            f"bytes of control, {max_servers:,} servers, mean rate of changes",
+            balancer.control_bytes(inputs, max_servers, mean_rate),
             inputs.bytes_budget,
-            Carrier.PROGRAM,
+            Remedy.THIS_PROGRAM,
             "none needed",
         ),
     ]
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -1,4 +1,4 @@
-"""What the model of a fleet consists of: roles with their quantities and mechanisms."""
+"""Types of the fleet model: roles with their quantities, budgets and mechanisms."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from benchmarks.capacity.quantity import Quantity, multiple
 
 
-class Kind(enum.Enum):
-    """What a quantity tells of its role."""
+class QuantityKind(enum.Enum):
+    """Which resource or load of its role a quantity describes."""
 
     STATE = "state"
     MESSAGES = "messages, mean"
@@ -21,43 +21,43 @@
 
 
 class Status(enum.Enum):
-    """Whether a mechanism exists in this program."""
+    """Whether a mechanism is implemented in this program."""
 
-    RUNS = "runs here"
-    BEGUN = "is begun"
+    IMPLEMENTED = "runs here"
+    PARTIAL = "is begun"
     MISSING = "is missing"
-    ELSEWHERE = "belongs to another system"
+    EXTERNAL = "belongs to another system"
 
 
-class Carrier(enum.Enum):
-    """By what a quantity over its budget can be brought under it."""
+class Remedy(enum.Enum):
+    """What it takes to bring a quantity that exceeds its budget under it."""
 
-    PROGRAM = "this program, by the protocol it has"
-    PROCESSES = "more processes of it"
-    SHAPE = "another shape of the program"
-    PROTOCOL = "not without a new protocol"
-    ANOTHER = "another system"
+    THIS_PROGRAM = "this program, by the protocol it has"
+    MORE_PROCESSES = "more processes of it"
+    NEW_ARCHITECTURE = "another shape of the program"
+    NEW_PROTOCOL = "not without a new protocol"
+    OTHER_SYSTEM = "another system"
 
 
 @dataclass(frozen=True)
 class Row:
-    """One quantity of a role, beside its budget where there is one."""
+    """One quantity of a role, with its budget if it has one."""
 
-    kind: Kind
+    kind: QuantityKind
     name: str
     quantity: Quantity
     budget: Quantity | None = None
-    servers: int | None = None  # where the quantity depends on their number
+    servers: int | None = None  # number of servers, if the quantity depends on it
 
     @property
     def multiple(self) -> Quantity | None:
-        """How many times its budget the quantity is."""
+        """The ratio of the quantity to its budget."""
         return None if self.budget is None else multiple(self.quantity, self.budget)
 
 
 @dataclass(frozen=True)
 class Mechanism:
-    """What carries a role, by its standard term."""
+    """A mechanism that a role relies on, by its standard term."""
 
     term: str
     status: Status
@@ -66,26 +66,26 @@
 
 @dataclass(frozen=True)
 class Role:
-    """One role of the fleet."""
+    """One role in the fleet, for example its list service."""
 
     key: str  # for example `lists`
     title: str
-    whose: str  # the sentence that says what the quantities are of
+    scope: str  # one sentence: which part of the fleet the quantities cover
     rows: tuple[Row, ...]
     mechanisms: tuple[Mechanism, ...]
 
 
 @dataclass(frozen=True)
-class Ranked:
-    """One quantity by today's mechanism, for the order in which missing ones are built."""
+class RankedQuantity:
+    """A quantity with today's mechanism, compared with its budget and with a way to reduce it."""
 
     name: str
     quantity: Quantity
     budget: Quantity
-    carrier: Carrier
+    remedy: Remedy
     verdict: str
 
     @property
     def multiple(self) -> Quantity:
-        """How many times its budget the quantity is."""
+        """The ratio of the quantity to its budget."""
         return multiple(self.quantity, self.budget)
--- a/puffinford/scale/outcome.py
+++ b/puffinford/scale/outcome.py
@@ -1,56 +1,56 @@
-"""What a scale run came to. Times in ms unless a name says otherwise."""
+"""The results of a scale run."""
 
 from __future__ import annotations
 
 import msgspec
 
 from puffinford.scale.agreement import Disagreement
-from puffinford.scale.told import Told
+from puffinford.scale.propagation import PropagationStats
 
 
 class ListServiceLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """The list service during the story."""
+    """Load of the list service during the story."""
 
     calls: int
-    calls_a_second: float
-    calls_peak: int  # in one second
-    sent: int  # bytes of answers, without TCP and IP
-    received: int  # bytes of calls
-    queue_most: int  # calls that waited for their turn together
-    broken: int  # connections that it reset
-    cpu_percent: float  # of a core
+    calls_per_s: float
+    peak_calls_per_s: int
+    sent_bytes: int  # answers, without TCP and IP headers
+    received_bytes: int  # calls, without TCP and IP headers
+    max_queued_calls: int
+    reset_connections: int
+    cpu_percent: float  # of one core
 
 
 class BalancerLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """Control's cost at one balancer of a kind; calls and bytes are None where relays stand between."""
+    """Mean cost of list distribution per balancer of one kind; calls and bytes are None behind relays."""
 
-    calls_a_second: float | None
-    bytes_a_second: float | None  # both ways, without TCP and IP
-    cpu_percent: float  # of a core
-    resident_kib: float  # a hollow one: the growth of its process over its number; a real one: its process
-    placed: int  # connections brought up, over all
+    calls_per_s: float | None
+    bytes_per_s: float | None  # both directions, without TCP and IP headers
+    cpu_percent: float  # of one core
+    resident_kib: float  # hollow: growth of the process divided by its balancers; real: the whole process
+    placed: int  # established connections, summed over all balancers
 
 
 class RelayLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """One relay during the story; 0 where it was killed."""
+    """Load of one relay during the story; 0 after it was killed."""
 
-    cpu_percent: float
+    cpu_percent: float  # of one core
     resident_mib: float
     upstream_calls: int
-    calls_a_second: float | None  # downstream; None where it logged too little to tell
-    sent_a_second: float | None  # bytes of answers
+    calls_per_s: float | None  # downstream; None if it logged too few samples
+    sent_bytes_per_s: float | None  # downstream answers
 
 
 class Lateness(msgspec.Struct, frozen=True, kw_only=True):
-    """How late the loops of the hollow processes were; a late loop makes its balancers look late."""
+    """Lateness of the event loops of the hollow processes, which adds to the measured propagation times."""
 
     p99_ms: float
-    most_ms: float
-    lost_part: float  # of the story, that the balancers' clock did not count, at the worst process
+    max_ms: float
+    lost_fraction: float  # of the story's time, skipped by the shared clock of the worst process
 
 
 class RunOutcome(msgspec.Struct, frozen=True, kw_only=True):
-    """One story at one size."""
+    """The results of one story at one fleet size."""
 
     story: str
     distribution: str
@@ -60,19 +60,19 @@
     relays: int
     servers: int
     changes: int
-    restarts: int  # hollow balancers that were killed and started again
-    service_ms: float
+    restarts: int  # of killed hollow balancers
+    service_ms: float  # processing time of one call at the list service
     seed: int
-    rate: float  # arrivals a second at each balancer
+    rate: float  # client arrivals per second at each balancer
     seconds: float
     list_service: ListServiceLoad
-    hollow_told: Told
-    real_told: Told
+    hollow_propagation: PropagationStats
+    real_propagation: PropagationStats
     hollow_load: BalancerLoad
     real_load: BalancerLoad
     relay_load: list[RelayLoad]
     lateness: Lateness
-    resident_mib: float  # of all hollow processes
-    held: bool  # the size was held to the end
-    why: str = ""  # where it was not
+    resident_mib: float  # all hollow processes together
+    held: bool  # all balancers ran to the end and the clock lost little enough
+    reason: str = ""  # why `held` is false
     disagreements: list[Disagreement] = []
