--- a/benchmarks/fleet/__main__.py
+++ b/benchmarks/fleet/__main__.py
@@ -32,8 +32,8 @@
         (fresh,) = restarted([Server(f"new-{old.id}")], fleet.now)
         new.append(fresh)
         fleet.arrive(2, 1_000.0, groups)
-        fleet.tell([fresh], 300.0)
-        fleet.tell(removed([old]), 300.0)
+        fleet.announce([fresh], 300.0)
+        fleet.announce(removed([old]), 300.0)
         fleet.arrive(fleet.fail_servers({old.id}), step, groups)
     return new
 
@@ -44,12 +44,12 @@
     cut = fleet.fail_servers({server.id for server in lost})
     fleet.arrive(cut, 1_500.0, groups)
     fleet.arrive(20, 1_500.0, groups)
-    fleet.tell(removed(lost), 500.0)
+    fleet.announce(removed(lost), 500.0)
     fleet.arrive(20, 2_500.0, groups)
     fleet.dead.clear()
     back = restarted(lost, fleet.now)
     fleet.arrive(5, 800.0, groups)
-    fleet.tell(back, 500.0)
+    fleet.announce(back, 500.0)
     fleet.arrive(100, 10_000.0, groups)
     return back
 
@@ -58,11 +58,11 @@
     """Seven in ten balancers restart at once beside two new servers; their clients come back within 1.5 s."""
     new = restarted([Server("new-1"), Server("new-2")], fleet.now)
     fleet.arrive(5, 2_000.0, groups)
-    fleet.tell(new, 500.0)
-    before = len(fleet.standing)
+    fleet.announce(new, 500.0)
+    before = len(fleet.connections)
     for me in range(int(0.7 * len(fleet.balancers))):
         fleet.restart(me, fleet.servers)
-    cut = before - len(fleet.standing)
+    cut = before - len(fleet.connections)
     for me in range(int(0.7 * len(fleet.balancers))):
         fleet.handle(me, ServerList(ListKind.REPLACE, [*fleet.servers, *new]))
     fleet.arrive(cut, 1_500.0, groups)
@@ -80,27 +80,27 @@
 ) -> dict[str, float]:
     fleet = Fleet(servers, balancers, seed, on_request=True)
     fleet.arrive(clients, 10_000.0, groups)
-    fleet.sends.clear()
+    fleet.placements.clear()
     fleet.attempts = 0
-    fleet.cpu, fleet.events = 0.0, 0
+    fleet.cpu_seconds, fleet.event_count = 0.0, 0
     cold = story(fleet, groups)
     fill = 0.0
     for server in cold:
-        for at in [at for at, _, to in fleet.sends if to == server.id]:
+        for at in [at for at, _, to in fleet.placements if to == server.id]:
             warmth = min(1.0, COLD_FROM + (1.0 - COLD_FROM) * (at - server.started) / WARM_TIME)
-            sent = sum(at - 1_000.0 < other <= at for other, _, to in fleet.sends if to == server.id)
+            sent = sum(at - 1_000.0 < other <= at for other, _, to in fleet.placements if to == server.id)
             fill = max(fill, sent / (MULTIPLE * SIMULATED_WARM_CAPACITY / QUOTA_FRACTION * warmth / 23.0))
-    held = fleet.held()
+    held = fleet.connections_by_server()
     up = [server.id for server in fleet.servers if server.id in held]
     return {
         "fill": fill,
         "cold_held": statistics.mean(held[server.id] for server in cold),
         "spread": max(held[ident] for ident in up) / statistics.mean(held[ident] for ident in up),
-        "pairs": fleet.pairs() / groups,
-        "claims": fleet.attempts / max(1, len(fleet.sends)),
-        "refused": fleet.refused / max(1, fleet.refused + len(fleet.sends)),
-        "calls": float(fleet.call_peak()),
-        "us": 1e6 * fleet.cpu / max(1, fleet.events),
+        "pairs": fleet.server_group_pairs() / groups,
+        "claims": fleet.attempts / max(1, len(fleet.placements)),
+        "refused": fleet.refused / max(1, fleet.refused + len(fleet.placements)),
+        "calls": float(fleet.peak_list_requests()),
+        "us": 1e6 * fleet.cpu_seconds / max(1, fleet.event_count),
     }
 
 
--- a/benchmarks/rebalance/story.py
+++ b/benchmarks/rebalance/story.py
@@ -82,7 +82,7 @@
             async def sample() -> None:
                 while True:
                     await play.clock.sleep(500.0)
-                    samples.append((play.trace.elapsed, [s.standing for s in play.servers.values()]))
+                    samples.append((play.trace.elapsed, [s.open_connections for s in play.servers.values()]))
 
             async def fill() -> None:
                 # The steady stream alone would take a life to fill the fleet.
--- a/benchmarks/scale/control.py
+++ b/benchmarks/scale/control.py
@@ -47,7 +47,9 @@
 def healthy(process: BalancerProcess) -> bool:
     """Whether it listens and has a list, as its second address says."""
     try:
-        with urllib.request.urlopen(f"http://{HOST}:{process.mgmt}/admin/health", timeout=1.0) as answer:
+        with urllib.request.urlopen(
+            f"http://{HOST}:{process.management_port}/admin/health", timeout=1.0
+        ) as answer:
             return bool(answer.status == 200)
     except (urllib.error.URLError, OSError):
         return False
@@ -59,7 +61,7 @@
     process.start()
     while not await anyio.to_thread.run_sync(healthy, process):
         if not process.running:
-            last = process.log.read_text(errors="replace").strip().splitlines()[-1:]
+            last = process.log_path.read_text(errors="replace").strip().splitlines()[-1:]
             raise NotHeld(f"{process.name} has ended: {' '.join(last)}")
         if time.monotonic() > began + READY_MOST:
             raise NotHeld(f"{process.name} was not ready within {READY_MOST:g} s")
--- a/benchmarks/scale/list_service.py
+++ b/benchmarks/scale/list_service.py
@@ -28,7 +28,7 @@
 class NoTrace(Trace):
     """Keeps nothing: a trace of every entry told would be the greater part of the cost."""
 
-    def add(self, what: EventKind, **more: object) -> None:
+    def add(self, kind: EventKind, **more: object) -> None:
         pass
 
 
@@ -70,25 +70,27 @@
         self._breaks = 0  # ... and came after the last of so many resets of all
         self._service_ms = service_ms
 
-    async def _play(self, stream: SocketStream, by: str = "", where: Any = None) -> None:
+    async def _handle_call(self, stream: SocketStream, balancer: str = "", address_of: Any = None) -> None:
         breaks = self._breaks
         self.out += 1
         try:
-            await super()._play(cast(SocketStream, CountedStream(stream, self.traffic)), by, where)
+            await super()._handle_call(
+                cast(SocketStream, CountedStream(stream, self.traffic)), balancer, address_of
+            )
         finally:
             # Guards the count against a watch that was reset and is still waited for here.
             if breaks == self._breaks:
                 self.out -= 1
 
-    async def _answer(self, stream: SocketStream, index: int | None, by: str, where: Any) -> None:
+    async def _answer(self, stream: SocketStream, index: int | None, balancer: str, address_of: Any) -> None:
         await self._clock.sleep(self._service_ms)
-        await super()._answer(stream, index, by, where)
+        await super()._answer(stream, index, balancer, address_of)
 
     async def break_all(self) -> None:
         """Reset every connection that is open."""
         self._breaks += 1
         self.out = 0
-        await self._port.break_all()
+        await self._port.reset_all()
 
 
 def nowhere(number: int) -> str:
@@ -108,7 +110,7 @@
         for number, name in enumerate(self._names):
             address = addresses[number] if addresses else nowhere(number)
             discovery.registry.put(name, addr=address, zone=f"z{number % 26}")
-        discovery.become("sound")
+        discovery.set_mode("sound")
 
     def change(self) -> int:
         """One server drains, or is back; the version that tells it."""
@@ -131,7 +133,7 @@
         match words:
             case ["figures"]:
                 traffic = self.discovery.traffic
-                return {"calls": self.discovery.calls, "bytes": traffic.received + traffic.sent}
+                return {"calls": self.discovery.call_count, "bytes": traffic.received + traffic.sent}
             case ["change"]:
                 return {"version": self.change(), "at": time.monotonic()}
             case ["break"]:
--- a/benchmarks/size/__main__.py
+++ b/benchmarks/size/__main__.py
@@ -78,7 +78,7 @@
                 lists.registry.put(
                     f"s-{n:04d}", addr=stands[n % LISTENERS].address, weight=BALANCERS / servers
                 )
-            lists.become("sound")
+            lists.set_mode("sound")
             told = platform_settings([kind], BALANCERS, 3)
             told["customers"] = [{"name": f"m{n}", "share": 1.0 / TENANTS} for n in range(TENANTS)]
             told["domain"]["tenant_quota_connections"] = [QUOTA / TENANTS] * TENANTS
@@ -87,18 +87,18 @@
             process.start()
             try:
                 await anyio.to_thread.run_sync(process.wait_until_listening)
-                while not process.log.read_text().count("event=discovery"):
+                while not process.log_path.read_text().count("event=discovery"):
                     await clock.sleep(20.0)
                 tasks.start_soon(_change, lists, clock, rng, servers)
                 clients = Clients([kind], rate, lambda: ("n1", process.port), clock, trace, rng, tasks)
                 await clients.run(seconds * 1_000.0)
                 asked = sum(trace.count(EventKind.REQUESTED).values())
                 need = Need(
-                    process.cpu(),
-                    process.peak() / 2**20,
+                    process.cpu_seconds(),
+                    process.peak_resident_bytes() / 2**20,
                     float(len(os.listdir(f"/proc/{process.pid}/fd"))),
                     float(trace.count(EventKind.ATTEMPT).total()),
-                    float(lists.sent),
+                    float(lists.bytes_sent),
                     sum(trace.count(EventKind.UP).values()) / max(1, asked),
                 )
             finally:
--- a/benchmarks/spread/model.py
+++ b/benchmarks/spread/model.py
@@ -44,7 +44,7 @@
                 fleet.leave(ident)
                 continue
             fleet.advance(look)
-            held = fleet.held()
+            held = fleet.connections_by_server()
             seen.append(Second(look - began, tuple(held[server.id] for server in fleet.servers)))
             look += STEP
         fleet.advance(due)
@@ -60,7 +60,7 @@
     found, us = [], []
     for seed in seeds:
         even, fleet = played(crowd, seed, seconds)
-        us.append(1e6 * fleet.cpu / max(1, fleet.events))
+        us.append(1e6 * fleet.cpu_seconds / max(1, fleet.event_count))
         if even is not None:
             found.append(even)
     return {
--- a/benchmarks/start/story.py
+++ b/benchmarks/start/story.py
@@ -64,11 +64,11 @@
     """The figures of a trace; a job is one opening, whether it is a client's first or a later one."""
     made = Result()
     until = trace.elapsed - SETTLE
-    asked = {entry.job for entry in trace.of(EventKind.REQUESTED) if entry.at <= until}
-    ups = sorted(entry.ms for entry in trace.of(EventKind.UP) if entry.job in asked)
+    asked = {entry.request_id for entry in trace.of(EventKind.REQUESTED) if entry.at <= until}
+    ups = sorted(entry.ms for entry in trace.of(EventKind.UP) if entry.request_id in asked)
     made.asked, made.up = len(asked), len(ups)
     made.in_time = sum(ms <= WANTED for ms in ups)
-    made.refused = sum(entry.job in asked for entry in trace.of(EventKind.BUSY))
+    made.refused = sum(entry.request_id in asked for entry in trace.of(EventKind.BUSY))
     firsts = [entry.at for entry in trace.of(EventKind.UP)]
     arrivals = [entry.at for entry in trace.of(EventKind.REQUESTED)]
     if firsts:
@@ -80,10 +80,10 @@
     for entry in trace.of(EventKind.ATTEMPT):
         made.to_draining += entry.server == DRAINING
         if entry.server in SILENT:
-            dead.setdefault(entry.job, set()).add(entry.server)
+            dead.setdefault(entry.request_id, set()).add(entry.server)
     made.dead_paid_twice = sum(len(servers) > 1 for servers in dead.values())
     made.broken = rules(trace, until)
-    answered = {entry.job for entry in trace.of(*ANSWERS)}
+    answered = {entry.request_id for entry in trace.of(*ANSWERS)}
     made.broken += [f"{job}: no answer" for job in asked - answered]
     return made
 
@@ -98,10 +98,10 @@
 def prepare_servers(play: Play) -> None:
     """Half of them dead, one draining."""
     for ident in REFUSING:
-        play.servers[ident].become("refusing")
+        play.servers[ident].set_state("refusing")
     for ident in SILENT:
-        play.servers[ident].become("silent")
-    play.servers[DRAINING].become("draining")
+        play.servers[ident].set_state("silent")
+    play.servers[DRAINING].set_state("draining")
 
 
 def entries(play: Play) -> list[dict[str, object]]:
--- a/puffinford/scale/list_process.py
+++ b/puffinford/scale/list_process.py
@@ -75,7 +75,7 @@
 
     async def _reset(self, command: ResetWatches) -> None:
         await _until(command.at)
-        self._service.break_all()
+        self._service.reset_all()
 
     async def _be_out(self, command: Outage) -> None:
         await _until(command.at)
@@ -96,14 +96,14 @@
 
     def _tally(self) -> ListTally:
         groups = {
-            name: GroupTally(counts.calls, counts.received, counts.sent)
+            name: GroupTally(counts.calls, counts.bytes_received, counts.bytes_sent)
             for name, counts in self._service.counts.items()
         }
         return ListTally(
             groups=groups,
             calls_by_second=dict(self._service.calls_by_second),
-            queue_most=self._service.queue_most,
-            broken=self._service.broken,
+            queue_most=self._service.max_queue_length,
+            broken=self._service.reset_count,
             cpu_s=time.process_time(),
         )
 
--- a/puffinford/scale/real.py
+++ b/puffinford/scale/real.py
@@ -74,7 +74,7 @@
             for me, balancer in self.balancers.items():
                 while not (balancer.is_listening() and self.logged(me).taken):
                     if not balancer.running:
-                        raise TimeoutError(f"{balancer.name} has ended; see {balancer.log}")
+                        raise TimeoutError(f"{balancer.name} has ended; see {balancer.log_path}")
                     await anyio.sleep(READY_EVERY_S)
 
     def stop(self) -> None:
@@ -89,7 +89,7 @@
 
     def cpu(self) -> float:
         """Seconds of CPU that all have taken together."""
-        return sum(balancer.cpu() for balancer in self.balancers.values())
+        return sum(balancer.cpu_seconds() for balancer in self.balancers.values())
 
     def resident(self) -> int:
         """Bytes of memory that all hold together."""
@@ -97,7 +97,7 @@
 
     def logged(self, me: int) -> Logged:
         """What the balancer's log tells so far."""
-        return read_log(self.balancers[me].log)
+        return read_log(self.balancers[me].log_path)
 
     async def serve_crowd(self, begin: float, end: float) -> None:
         """Bring the clients that come between two moments; those that stand then go on until cancelled."""
--- a/puffinford/stage/crowds.py
+++ b/puffinford/stage/crowds.py
@@ -10,7 +10,7 @@
 from puffinford.core.clock import Clock
 from puffinford.standins.balancer import BalancerProcess
 from puffinford.standins.clients import Clients
-from puffinford.standins.holding import STATES, send
+from puffinford.standins.holding import HELD_STATES, send
 from puffinford.standins.listeners import HOST, LineStream
 
 LAST = 300.0  # ms before the kill in which a third of the held requests are written
@@ -32,9 +32,11 @@
     now = clock.now()
     times = [(now, until), (max(now, until - LAST), until), (until, until + PAST)] * each
     for port, channels in fronts:
-        for state in STATES:
+        for state in HELD_STATES:
             for since, before in times:
-                clients.hold(state, balancer.name, port, rng.uniform(since, before), channels=channels)
+                clients.hold_connection(
+                    state, balancer.name, port, rng.uniform(since, before), channels=channels
+                )
 
 
 class Crowds:
--- a/puffinford/stage/links.py
+++ b/puffinford/stage/links.py
@@ -54,7 +54,7 @@
         self._changed.set()
         self._changed = anyio.Event()
         if fault.kind == "rst":
-            await self._port.break_all()
+            await self._port.reset_all()
         elif fault.kind == "fin":
             for stream in list(self._port.streams):
                 with contextlib.suppress(anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
--- a/puffinford/stage/play.py
+++ b/puffinford/stage/play.py
@@ -115,7 +115,7 @@
                 self.discovery.registry.put(
                     ident, addr=server.address, zone=make.zone, kind=make.kind, state=state
                 )
-            self.discovery.become(discovery)
+            self.discovery.set_mode(discovery)
             for number in range(1, script.balancers + 1):
                 ports = {f"n{number}>{ident}": port_of(one.address) for ident, one in self.servers.items()}
                 if script.linked:
@@ -160,7 +160,7 @@
     async def _discovery_of(self, number: int, ports: Mapping[str, int]) -> str:
         """Where a balancer asks for its own list, in which servers are at these ports by link."""
         by = f"n{number}"
-        view = self.discovery.view(by, lambda ident: f"{HOST}:{ports[f'{by}>{ident}']}")
+        view = self.discovery.add_view(by, lambda ident: f"{HOST}:{ports[f'{by}>{ident}']}")
         if not self.script.linked:
             return view
         name = f"{by}>{DISCOVERY}"
@@ -184,8 +184,8 @@
             self.trace,
             self.rng,
             tasks,
-            patience=self.script.patience,
-            rests=self.script.rests,
+            extra_wait=self.script.patience,
+            idle_share=self.script.rests,
         )
         await self.clients.run(self.script.seconds * 1_000.0)
         self.trace.serving_ended_at = self.trace.elapsed
@@ -202,7 +202,7 @@
             await self.clock.sleep(GUARD_EVERY)
             for balancer in self.balancers:
                 if not balancer.running and balancer.name not in self._ended:
-                    raise Failed(f"{balancer.name} ended by itself; see {balancer.log}")
+                    raise Failed(f"{balancer.name} ended by itself; see {balancer.log_path}")
             await self.relays.look()
 
     async def _watch_lateness(self) -> None:
@@ -234,7 +234,7 @@
     async def carry_out(self, event: Event) -> None:
         """Make one thing happen."""
         if event.whom == "discovery":
-            self.discovery.become(event.do)
+            self.discovery.set_mode(event.do)
             return
         each = event.over / len(event.names)
         for number, name in enumerate(event.names if event.over else ()):
@@ -255,9 +255,9 @@
             if whom == "server":
                 await self._server(self.servers[name], do)
                 continue
-            self.trace.add(EventKind.FAULT, by=name, detail=do)
+            self.trace.add(EventKind.FAULT, balancer=name, detail=do)
             if whom == "lists":
-                self.discovery.twist(name, do)
+                self.discovery.set_twist(name, do)
             elif whom == "balancers":
                 await self._balancer(self.balancers[int(name[1:]) - 1], do)
 
@@ -273,9 +273,9 @@
                 self.discovery.put(server.id, state=do)
             case "draining":
                 self.discovery.put(server.id, state="leaving")
-                server.become("draining")
+                server.set_state("draining")
             case _:
-                server.become(do)
+                server.set_state(do)
 
     def _start(self, balancer: BalancerProcess) -> None:
         balancer.start()
@@ -334,7 +334,7 @@
         while balancer.running and self.clock.now() < kill_at:
             await self.clock.sleep(LOOK_EVERY)
         if balancer.running:
-            self.trace.add(EventKind.FAULT, by=balancer.name, detail=KILLED)
+            self.trace.add(EventKind.FAULT, balancer=balancer.name, detail=KILLED)
         balancer.signal(signal.SIGKILL)
         balancer.write_settings(balancer.settings)
         self._start(balancer)
--- a/puffinford/stage/report.py
+++ b/puffinford/stage/report.py
@@ -67,7 +67,7 @@
             found.setdefault((do, round(since / 100.0), round(at / 100.0)), []).append(name)
 
     for entry in trace.of(EventKind.FAULT, EventKind.STATE):
-        name = entry.by or entry.server
+        name = entry.balancer or entry.server
         end(name, entry.at)
         if entry.detail not in ("sound", "wake", "plain", "reload") and entry.at >= trace.serving_started_at:
             began[name] = (entry.detail, entry.at)
@@ -138,7 +138,7 @@
         """Servers that stood empty while others were loaded, though nothing was wrong with them."""
         usable: dict[str, float] = dict.fromkeys(self.servers, self.trace.serving_started_at)
         for entry in self.trace.of(EventKind.STATE, EventKind.LISTED):
-            sound = (*SERVING_STATES, "active") if entry.what is EventKind.STATE else ("active",)
+            sound = (*SERVING_STATES, "active") if entry.kind is EventKind.STATE else ("active",)
             if entry.detail not in sound:
                 usable.pop(entry.server, None)
         return idle(self.seconds, self.servers, usable)
--- a/puffinford/stage/script.py
+++ b/puffinford/stage/script.py
@@ -50,8 +50,8 @@
 from puffinford.stage.faults import BadFault, read_fault, read_process_fault, struck
 from puffinford.standins.balancer import DEFAULT_SOCKETS
 from puffinford.standins.clients import ClientClass
-from puffinford.standins.discovery import MODES, parse_twist
-from puffinford.standins.servers import STATES, ServerProfile
+from puffinford.standins.discovery import DISCOVERY_MODES, parse_twist
+from puffinford.standins.servers import SERVER_STATES, ServerProfile
 
 CLIENTS = "clients"  # as a party of links
 DISCOVERY = "discovery"  # as a party of links
@@ -60,7 +60,7 @@
 NAMES = {*FIGURES, "channels", "grouped", "busy", "operators", "discovery", "classes", "servers", "events"}
 EVENT_NAMES = {"at", "whom", "do", "for", "part", "over"}
 WHOM = ("discovery", "server", "servers", "balancer", "balancers", "links", "lists")
-SERVER_DOES = (*STATES, "crash", "start", "start cold", "leaving", "left")
+SERVER_DOES = (*SERVER_STATES, "crash", "start", "start cold", "leaving", "left")
 
 
 class BadScript(Exception):
@@ -239,8 +239,8 @@
     try:
         match whom[0]:
             case "discovery":
-                if named not in MODES:
-                    raise BadFault(f"discovery {named!r} is none of {' '.join(MODES)}")
+                if named not in DISCOVERY_MODES:
+                    raise BadFault(f"discovery {named!r} is none of {' '.join(DISCOVERY_MODES)}")
                 do = named
             case "server" | "servers":
                 if do not in SERVER_DOES:
--- a/puffinford/stage/soak.py
+++ b/puffinford/stage/soak.py
@@ -158,29 +158,35 @@
     unread where idle clients fill a balancer's descriptors.
     """
     least = {kind.name: kind.give_up for kind in script.kinds}
-    asked = {entry.job: entry for entry in trace.of(EventKind.REQUESTED)}
+    asked = {entry.request_id: entry for entry in trace.of(EventKind.REQUESTED)}
     crowded = _crowded(trace)
 
     def excused(entry: TraceEvent) -> bool:
-        request = asked[entry.job]
-        if not request.by or entry.detail == "REFUSED":
+        request = asked[entry.request_id]
+        if not request.balancer or entry.detail == "REFUSED":
             return True
         if not entry.detail:
             return late >= LATE_MOST and entry.ms >= least[entry.cls]
         return not request.detail and any(
-            since <= request.at and entry.at <= until for since, until in crowded.get(request.by, ())
+            since <= request.at and entry.at <= until for since, until in crowded.get(request.balancer, ())
         )
 
-    return [_told(trace, entry, asked[entry.job]) for entry in trace.of(EventKind.LOST) if not excused(entry)]
+    return [
+        _told(trace, entry, asked[entry.request_id])
+        for entry in trace.of(EventKind.LOST)
+        if not excused(entry)
+    ]
 
 
 def _told(trace: Trace, lost: TraceEvent, request: TraceEvent) -> str:
     """What became of a lost request, on what connection, and when its balancer was killed, if it was."""
     how = lost.detail or "out of time"
-    told = f"{lost.job}: lost after {lost.ms:.0f} ms, {how}, by {request.by}"
+    told = f"{lost.request_id}: lost after {lost.ms:.0f} ms, {how}, by {request.balancer}"
     told += f" on a {request.detail or 'new'} connection"
     kills = [
-        entry.at for entry in trace.of(EventKind.FAULT) if entry.by == request.by and entry.detail == KILLED
+        entry.at
+        for entry in trace.of(EventKind.FAULT)
+        if entry.balancer == request.balancer and entry.detail == KILLED
     ]
     return told + "".join(f", written {at - request.at:.1f} ms before the kill" for at in kills)
 
@@ -190,8 +196,8 @@
     spans: dict[str, list[tuple[float, float]]] = {}
     for entry in trace.of(EventKind.FAULT):
         if entry.detail.split(" ")[0] == CROWD_FAULT:
-            spans.setdefault(entry.by, []).append((entry.at, float("inf")))
-        elif entry.detail == FAULT_OVER and entry.by in spans:
-            since, until = spans[entry.by][-1]
-            spans[entry.by][-1] = (since, min(until, entry.at))
+            spans.setdefault(entry.balancer, []).append((entry.at, float("inf")))
+        elif entry.detail == FAULT_OVER and entry.balancer in spans:
+            since, until = spans[entry.balancer][-1]
+            spans[entry.balancer][-1] = (since, min(until, entry.at))
     return spans
--- a/puffinford/stage/spread.py
+++ b/puffinford/stage/spread.py
@@ -44,7 +44,7 @@
 
     for entry in trace.of(EventKind.UP, *ENDED):
         look(entry.at)
-        held[entry.server] += 1 if entry.what is EventKind.UP else -1
+        held[entry.server] += 1 if entry.kind is EventKind.UP else -1
     look(until)
     return seen
 
@@ -106,14 +106,14 @@
     held: Counter[str] = Counter()
     out: set[str] = set()
     counted = 0
-    for entry in trace.entries:
-        if entry.what is EventKind.UP:
+    for entry in trace.events:
+        if entry.kind is EventKind.UP:
             held[entry.server] += 1
-        elif entry.what in ENDED:
+        elif entry.kind in ENDED:
             held[entry.server] -= 1
-        elif entry.what is EventKind.STATE:
+        elif entry.kind is EventKind.STATE:
             (out.discard if entry.detail in SERVING_STATES else out.add)(entry.server)
-        elif entry.what in (EventKind.BUSY, EventKind.FAILED) and since <= entry.at < until:
+        elif entry.kind in (EventKind.BUSY, EventKind.FAILED) and since <= entry.at < until:
             room = sum(size for server, size in capacity.items() if server not in out)
             counted += sum(held.values()) < ROOM * room
     return counted
--- a/puffinford/standins/balancer.py
+++ b/puffinford/standins/balancer.py
@@ -128,12 +128,12 @@
         self.name = name
         self._reserved = [reserve_port() for _ in range(3 if channels else 2)]
         ports = [int(held.getsockname()[1]) for held in self._reserved]
-        self.port, self.mgmt = ports[:2]
+        self.port, self.management_port = ports[:2]
         self.channel_port = ports[2] if channels else 0
         if channels:
             operators += f"\nsection channels\n enabled on\n listen {HOST}:{self.channel_port}\n"
         self.directory = directory
-        self.log = directory / f"{name}.log"
+        self.log_path = directory / f"{name}.log"
         self._private = directory / f"{name}.tmp"
         # Guards a play against the lists that the same names kept in another: their versions look the same.
         shutil.rmtree(self._private, ignore_errors=True)
@@ -148,7 +148,7 @@
         told: dict[str, Any] = {
             "name": name,
             "listen": f"{HOST}:{self.port}",
-            "mgmt": f"{HOST}:{self.mgmt}",
+            "mgmt": f"{HOST}:{self.management_port}",
             "discovery": discovery,
             "seed": f"{seed:x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
@@ -192,7 +192,7 @@
         words = [sys.executable, "-m", "puffinford"]
         if self._operators is not None:
             words += ["serve", "--settings", str(self._operators)]
-        with open(self.log, "ab") as log:
+        with open(self.log_path, "ab") as log:
             self._process = subprocess.Popen(words, env=env, stderr=log, stdout=log, cwd=self._root)
 
     def is_listening(self) -> bool:
@@ -220,7 +220,7 @@
             self._process.kill()
             self._process.wait()
 
-    def cpu(self) -> float:
+    def cpu_seconds(self) -> float:
         """Seconds of CPU that the process has taken, by the kernel's count."""
         fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
@@ -229,18 +229,18 @@
         """Bytes of memory that the process holds."""
         return int(Path(f"/proc/{self.pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
-    def peak(self) -> int:
+    def peak_resident_bytes(self) -> int:
         """The most bytes of memory that the process has held."""
         status = Path(f"/proc/{self.pid}/status").read_text()
         (line,) = (line for line in status.splitlines() if line.startswith("VmHWM:"))
         return int(line.split()[1]) * 1_024
 
-    def wait_until_listening(self, most: float = 10.0) -> float:
+    def wait_until_listening(self, timeout_s: float = 10.0) -> float:
         """Seconds until it took connections; raises TimeoutError."""
         began = time.monotonic()
         while not self.is_listening():
-            if time.monotonic() - began > most or not self.running:
-                raise TimeoutError(f"{self.name} does not listen; see {self.log}")
+            if time.monotonic() - began > timeout_s or not self.running:
+                raise TimeoutError(f"{self.name} does not listen; see {self.log_path}")
             time.sleep(0.005)
         self.ready = True
         return time.monotonic() - began
--- a/puffinford/standins/checks.py
+++ b/puffinford/standins/checks.py
@@ -19,10 +19,10 @@
     found: dict[str, list[tuple[float, float]]] = defaultdict(list)
     began: dict[str, float] = {}
     for entry in trace.of(EventKind.FAULT):
-        if entry.by in began:
-            found[entry.by].append((began.pop(entry.by), entry.at))
+        if entry.balancer in began:
+            found[entry.balancer].append((began.pop(entry.balancer), entry.at))
         if entry.detail != "sound":
-            began[entry.by] = entry.at
+            began[entry.balancer] = entry.at
     for name, since in began.items():
         found[name].append((since, float("inf")))
     return found
@@ -35,17 +35,17 @@
     answers: dict[str, list[str]] = defaultdict(list)
     asked = {}
     for entry in trace.of(EventKind.REQUESTED, *ANSWERS):
-        if entry.what is EventKind.REQUESTED:
-            asked[entry.job] = entry.at
+        if entry.kind is EventKind.REQUESTED:
+            asked[entry.request_id] = entry.at
         else:
-            answers[entry.job].append(entry.what.value)
+            answers[entry.request_id].append(entry.kind.value)
     wrong = [f"{job}: {' and '.join(many)}" for job, many in answers.items() if len(many) > 1]
     return wrong + [f"{job}: no answer" for job, at in asked.items() if job not in answers and at < until]
 
 
 def every_request_answered(trace: Trace) -> list[str]:
     """No opening ended without an answer."""
-    return [f"{entry.job}: {entry.detail or 'lost'}" for entry in trace.of(EventKind.LOST)]
+    return [f"{entry.request_id}: {entry.detail or 'lost'}" for entry in trace.of(EventKind.LOST)]
 
 
 def no_overlapping_attempts(trace: Trace, slack: float = ORDER_TOLERANCE_MS) -> list[str]:
@@ -58,21 +58,21 @@
 
     def hidden(claim: TraceEvent, until: float) -> bool:
         """Whether the link of a claim failed between its beginning and then."""
-        spans = faults[f"{claim.by}>{claim.server}"]
+        spans = faults[f"{claim.balancer}>{claim.server}"]
         return any(claim.at < end + AFTER and since < until for since, end in spans)
 
     out: dict[str, dict[str, TraceEvent]] = defaultdict(dict)
     wrong = []
     for entry in trace.of(EventKind.ATTEMPT, EventKind.ATTEMPT_END):
-        claims = out[entry.job]
-        if entry.what is EventKind.ATTEMPT:
+        claims = out[entry.request_id]
+        if entry.kind is EventKind.ATTEMPT:
             claims[entry.detail] = entry
             continue
         ended = claims.pop(entry.detail, entry)
         if hidden(ended, entry.at):
             continue
         wrong += [
-            f"{entry.job}: two claims for {together:.0f} ms, one at {entry.server}"
+            f"{entry.request_id}: two claims for {together:.0f} ms, one at {entry.server}"
             for other in claims.values()
             if (together := entry.at - max(ended.at, other.at)) > slack and not hidden(other, entry.at)
         ]
@@ -98,13 +98,13 @@
     told: dict[tuple[str, str], float] = {}
     wrong = []
     for entry in trace.of(EventKind.LISTED, EventKind.ATTEMPT):
-        if entry.what is EventKind.LISTED:
+        if entry.kind is EventKind.LISTED:
             if entry.detail == "active":
-                told.pop((entry.server, entry.by), None)
+                told.pop((entry.server, entry.balancer), None)
             else:
-                told.setdefault((entry.server, entry.by), heard(entry.by, entry.at))
-        elif (late := entry.at - told.get((entry.server, entry.by), entry.at)) > grace:
-            wrong.append(f"{entry.job}: to {entry.server} {late:.0f} ms after it was told")
+                told.setdefault((entry.server, entry.balancer), heard(entry.balancer, entry.at))
+        elif (late := entry.at - told.get((entry.server, entry.balancer), entry.at)) > grace:
+            wrong.append(f"{entry.request_id}: to {entry.server} {late:.0f} ms after it was told")
     return wrong
 
 
@@ -127,23 +127,23 @@
     claims: dict[str, list[tuple[float, bool]]] = defaultdict(list)
     for entry in trace.of(EventKind.STATE, EventKind.LISTED, EventKind.ATTEMPT):
         server = entry.server
-        if entry.what is EventKind.STATE:
+        if entry.kind is EventKind.STATE:
             if entry.detail == "cold":
                 cold[server] = entry.at
                 before[server] = starts.get(server, 0.0)
                 claims[server].clear()
                 told[server].clear()
             continue
-        if entry.what is EventKind.LISTED:
+        if entry.kind is EventKind.LISTED:
             starts[server] = entry.ms
             if server in cold and entry.ms != before[server]:
-                told[server].add(entry.by)
+                told[server].add(entry.balancer)
             continue
         since = cold.get(server)
         if since is None or entry.at > since + warm_ms:
             continue
         times = claims[server]
-        times.append((entry.at, entry.by in told[server]))
+        times.append((entry.at, entry.balancer in told[server]))
         while times[0][0] < entry.at - window:
             times.pop(0)
         share = cold_from + (1.0 - cold_from) * (entry.at - since) / warm_ms
@@ -210,21 +210,23 @@
     first: dict[str, float] = {}
     wrong = []
     for entry in trace.of(EventKind.REQUESTED, EventKind.EXECUTED, EventKind.BUSY):
-        if entry.what is EventKind.REQUESTED:
-            classes[entry.job] = entry.cls
+        if entry.kind is EventKind.REQUESTED:
+            classes[entry.request_id] = entry.cls
             continue
-        effect, window = kinds[classes[entry.job]]
-        since = first.get(entry.job)
-        if entry.what is EventKind.EXECUTED:
-            first.setdefault(entry.job, entry.at)
+        effect, window = kinds[classes[entry.request_id]]
+        since = first.get(entry.request_id)
+        if entry.kind is EventKind.EXECUTED:
+            first.setdefault(entry.request_id, entry.at)
         if since is None or effect == "idempotent":
             continue
-        if entry.what is EventKind.BUSY and effect == "at_most_once":
-            wrong.append(f"{entry.job}: refused though it may have run")
-        elif entry.what is EventKind.EXECUTED and (
+        if entry.kind is EventKind.BUSY and effect == "at_most_once":
+            wrong.append(f"{entry.request_id}: refused though it may have run")
+        elif entry.kind is EventKind.EXECUTED and (
             effect == "at_most_once" or entry.at > since + window + HELD_UP
         ):
-            wrong.append(f"{entry.job}: again {entry.at - since:.0f} ms after it may have run, {effect}")
+            wrong.append(
+                f"{entry.request_id}: again {entry.at - since:.0f} ms after it may have run, {effect}"
+            )
     return wrong
 
 
@@ -233,8 +235,8 @@
     broken: set[tuple[str, str]] = set()
     wrong = []
     for entry in trace.of(EventKind.BROKEN, EventKind.CUT_OFF):
-        if entry.what is EventKind.BROKEN:
-            broken.add((entry.job, entry.server))
-        elif (entry.job, entry.server) not in broken:
-            wrong.append(f"{entry.job}: cut without MOVE, {entry.server} had not broken it")
+        if entry.kind is EventKind.BROKEN:
+            broken.add((entry.request_id, entry.server))
+        elif (entry.request_id, entry.server) not in broken:
+            wrong.append(f"{entry.request_id}: cut without MOVE, {entry.server} had not broken it")
     return wrong
--- a/puffinford/standins/clients.py
+++ b/puffinford/standins/clients.py
@@ -69,26 +69,26 @@
         self,
         kinds: Sequence[ClientClass],
         rate: float,
-        front: Callable[[], tuple[str, int] | None],
+        pick_balancer: Callable[[], tuple[str, int] | None],
         clock: Clock,
         trace: Trace,
         rng: random.Random,
         tasks: anyio.abc.TaskGroup,
         retries: int = 2,
         rejoin: tuple[float, float] = (140.0, 1_100.0),
-        patience: float = 0.0,
-        rests: float = 0.0,
+        extra_wait: float = 0.0,
+        idle_share: float = 0.0,
     ) -> None:
-        """`front` gives the name and port of the next client's balancer, or None where there is none.
+        """`pick_balancer` returns the name and port of the next client's balancer, or None if there is none.
 
-        Clients listen for `patience` ms past their time. That part of them which `rests` says is heard first
-        by PING, and asks up to REST ms later.
+        Clients read for `extra_wait` ms past their own limit. The fraction `idle_share` of them sends PING
+        first, and its request up to REST ms later.
         """
-        self._patience = patience
-        self._rests = rests
+        self._extra_wait = extra_wait
+        self._idle_share = idle_share
         self._kinds = list(kinds)
         self._rate = rate
-        self._front = front
+        self._pick_balancer = pick_balancer
         self._clock = clock
         self._trace = trace
         self._rng = rng
@@ -97,7 +97,7 @@
         self._rejoin = rejoin
         self._made = 0
         self._seed = rng.getrandbits(32)
-        self.standing = 0
+        self.established = 0
         self.awaiting_answer = 0  # those that wait for their answer
 
     async def run(self, for_ms: float) -> None:
@@ -136,21 +136,21 @@
     async def _try(self, kind: ClientClass, life: float, group: str, again: str) -> tuple[str, float]:
         """One connection: `done`, `back` where it stood and ended, `no` with the ms to stay away."""
         job = self._next_job()
-        by, port = self._front() or ("", 0)
+        by, port = self._pick_balancer() or ("", 0)
         stream: SocketStream | None = None
         lines: LineStream | None = None
-        if self._rests and self._rng.random() < self._rests:
+        if self._idle_share and self._rng.random() < self._idle_share:
             lines = await self._rested(port)
             if lines is None:
                 return "no", 0.0
             stream = lines.stream
         began = self._clock.now()
         rested = "rested" if lines is not None else ""
-        self._trace.add(EventKind.REQUESTED, job=job, cls=kind.name, by=by, detail=rested)
+        self._trace.add(EventKind.REQUESTED, request_id=job, cls=kind.name, balancer=by, detail=rested)
         answer = b""
         self.awaiting_answer += 1
         try:
-            with self._clock.limit(kind.give_up + self._patience):
+            with self._clock.limit(kind.give_up + self._extra_wait):
                 if port:
                     stream = stream or await anyio.connect_tcp(HOST, port)
                     lines = lines or LineStream(stream)
@@ -165,7 +165,7 @@
             if lines is None or not answer.startswith(b"UP "):
                 return self._turned_away(job, kind, answer, ms)
             server = _server(answer)
-            self._trace.add(EventKind.UP, job=job, cls=kind.name, server=server, ms=ms)
+            self._trace.add(EventKind.UP, request_id=job, cls=kind.name, server=server, ms=ms)
             # Guards what came right behind UP, in the same piece: the reader that holds it goes on.
             return await self._stay(lines, kind, job, server, life), 0.0
         finally:
@@ -176,11 +176,13 @@
         self._made += 1
         return f"{self._seed:08x}{self._made:08x}"
 
-    def hold(self, state: str, by: str, port: int, asks_at: float, *, channels: bool = False) -> None:
-        """A client comes to this balancer now, and goes on using its connection whatever is said to it.
+    def hold_connection(
+        self, state: str, by: str, port: int, asks_at: float, *, channels: bool = False
+    ) -> None:
+        """Connect a client to this balancer now; it uses its connection whatever the balancer sends.
 
-        It gets as far as `state`, one of `holding.STATES`, and writes the rest of its request when the clock
-        shows `asks_at` ms.
+        It gets as far as `state`, one of `holding.HELD_STATES`, and writes the rest of its request at
+        `asks_at`, in ms on the clock.
         """
         self._tasks.start_soon(self._hold, state, by, port, asks_at, channels)
 
@@ -218,13 +220,15 @@
 
         async def ask() -> None:
             await self._clock.sleep(wait)
-            self._trace.add(EventKind.REQUESTED, job=asked.job, cls=kind.name, by=asked.by, detail=asked.how)
+            self._trace.add(
+                EventKind.REQUESTED, request_id=asked.job, cls=kind.name, balancer=asked.by, detail=asked.how
+            )
             told.set()
             await send(connection.stream, rest)
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(ask)
-            with self._clock.limit(wait + kind.give_up + self._patience):
+            with self._clock.limit(wait + kind.give_up + self._extra_wait):
                 answer = await connection.next()
             await told.wait()
         ms = max(0.0, self._clock.now() - began)
@@ -232,7 +236,7 @@
             self._turned_away(asked.job, kind, answer, ms)
             return
         server = _server(answer)
-        self._trace.add(EventKind.UP, job=asked.job, cls=kind.name, server=server, ms=ms)
+        self._trace.add(EventKind.UP, request_id=asked.job, cls=kind.name, server=server, ms=ms)
         await self._stay(connection, kind, asked.job, server, REST + kind.give_up)
 
     async def _rested(self, port: int) -> LineStream | None:
@@ -255,19 +259,21 @@
     def _turned_away(self, job: str, kind: ClientClass, answer: bytes, ms: float) -> tuple[str, float]:
         word, _, rest = answer.partition(b" ")
         if word == b"BUSY":
-            self._trace.add(EventKind.BUSY, job=job, cls=kind.name, ms=ms)
+            self._trace.add(EventKind.BUSY, request_id=job, cls=kind.name, ms=ms)
             return "no", float(rest or b"0")
         if word == b"ERR":
-            self._trace.add(EventKind.FAILED, job=job, cls=kind.name, ms=ms)
+            self._trace.add(EventKind.FAILED, request_id=job, cls=kind.name, ms=ms)
         else:
-            self._trace.add(EventKind.LOST, job=job, cls=kind.name, ms=ms, detail=answer.decode("latin-1"))
+            self._trace.add(
+                EventKind.LOST, request_id=job, cls=kind.name, ms=ms, detail=answer.decode("latin-1")
+            )
         return "no", 0.0
 
     async def _stay(self, lines: Connection, kind: ClientClass, job: str, server: str, life: float) -> str:
         """A connection that stands: a line each `every` ms, until its life is over or it ends."""
         ended: list[bytes] = []
         sent: list[float] = []
-        self.standing += 1
+        self.established += 1
         try:
             async with anyio.create_task_group() as tasks:
 
@@ -288,9 +294,9 @@
                             await anyio.sleep_forever()
                 tasks.cancel_scope.cancel()
         finally:
-            self.standing -= 1
+            self.established -= 1
         what = EventKind.DONE if not ended else EventKind.MOVED if ended[0] == b"MOVE" else EventKind.CUT_OFF
-        self._trace.add(what, job=job, cls=kind.name, server=server)
+        self._trace.add(what, request_id=job, cls=kind.name, server=server)
         if what is EventKind.DONE and self._rng.random() < 0.1:
             await reset(lines.stream)  # some clients break off
         return "done" if what is EventKind.DONE else "back"
--- a/puffinford/standins/discovery.py
+++ b/puffinford/standins/discovery.py
@@ -17,7 +17,7 @@
 from puffinford.standins.listeners import HOST, ListeningPort, reset
 from puffinford.standins.trace import EventKind, Trace
 
-MODES = ("sound", "absent", "hung", "late", "unavailable", "garbage", "reset", "older")
+DISCOVERY_MODES = ("sound", "absent", "hung", "late", "unavailable", "garbage", "reset", "older")
 LATE = 3_000.0  # ms that a late answer takes
 TWISTS = ("plain", "reversed", "short", "late")  # how one balancer's answers differ; `late` has ms behind it
 SHORT = 2 / 3  # the part of the entries that a short list still names
@@ -79,20 +79,20 @@
 
 
 class Discovery:
-    """The service. `registry` is changed through `put`, told after `lag_ms` ms; `mode` is one of MODES."""
+    """The service. Changes made with `put` are listed after `lag_ms`; `mode` is one of DISCOVERY_MODES."""
 
     def __init__(self, clock: Clock, trace: Trace, tasks: anyio.abc.TaskGroup, lag_ms: float = 0.0) -> None:
         self.registry = EntryRegistry()
         self.lag_ms = lag_ms
         self.mode = "absent"
-        self.calls = 0
-        self.sent = 0  # bytes of the lists that were written
+        self.call_count = 0
+        self.bytes_sent = 0  # bytes of the lists that were written
         self._clock = clock
         self._trace = trace
         self._tasks = tasks
         self._news = anyio.Event()
         self._one = anyio.Lock()  # it answers one call at a time
-        self._port = ListeningPort(self._play, tasks)
+        self._port = ListeningPort(self._handle_call, tasks)
         self._views: list[ListeningPort] = []
         self._twists: dict[str, tuple[str, float]] = {}  # of balancers that are told lists of their own
 
@@ -101,11 +101,11 @@
         """HOST:PORT, the same for as long as it is there."""
         return f"{HOST}:{self._port.number}"
 
-    def view(self, by: str, where: Callable[[str], str]) -> str:
-        """HOST:PORT for one balancer, to which the address of each server is what `where` says of its id."""
+    def add_view(self, balancer: str, address_of: Callable[[str], str]) -> str:
+        """Listen for one balancer, whose lists name `address_of(id)` as a server's address; HOST:PORT."""
 
         async def play(stream: SocketStream) -> None:
-            await self._play(stream, by, where)
+            await self._handle_call(stream, balancer, address_of)
 
         port = ListeningPort(play, self._tasks)
         self._views.append(port)
@@ -113,22 +113,22 @@
             port.open()
         return f"{HOST}:{port.number}"
 
-    def become(self, mode: str) -> None:
+    def set_mode(self, mode: str) -> None:
         """Change how calls are answered. Watches end when it goes down."""
-        if mode not in MODES:
-            raise ValueError(f"{mode!r} is none of {' '.join(MODES)}")
+        if mode not in DISCOVERY_MODES:
+            raise ValueError(f"{mode!r} is none of {' '.join(DISCOVERY_MODES)}")
         was, self.mode = self.mode, mode
         for port in (self._port, *self._views):
             if mode == "absent":
                 port.close()
-                self._tasks.start_soon(port.break_all)
+                self._tasks.start_soon(port.reset_all)
             elif was == "absent":
                 port.open()
         self._tell()
 
-    def twist(self, by: str, how: str) -> None:
+    def set_twist(self, balancer: str, how: str) -> None:
         """Tell one balancer, which has a view, its lists another way from now on: see TWISTS."""
-        self._twists[by] = parse_twist(how)
+        self._twists[balancer] = parse_twist(how)
         self.registry.version += 1  # guards the change against a watch that hears of no news
         self._tell()
 
@@ -146,20 +146,20 @@
         self._news.set()
         self._news = anyio.Event()
 
-    async def _play(
-        self, stream: SocketStream, by: str = "", where: Callable[[str], str] | None = None
+    async def _handle_call(
+        self, stream: SocketStream, balancer: str = "", address_of: Callable[[str], str] | None = None
     ) -> None:
         head = b""
         while b"\r\n\r\n" not in head:
             head += await stream.receive()
-        self.calls += 1
+        self.call_count += 1
         found = CALL.match(head)
         index = int(found[1]) if found and found[1] else None
         wait = float(found[2]) if found and found[2] else 0.0
         async with anyio.create_task_group() as call:
             call.start_soon(_until_gone, stream, call.cancel_scope)
             with contextlib.suppress(anyio.BrokenResourceError, anyio.ClosedResourceError):
-                await self._reply(stream, index, wait, by, where)
+                await self._reply(stream, index, wait, balancer, address_of)
             call.cancel_scope.cancel()
 
     async def _reply(
@@ -167,19 +167,19 @@
         stream: SocketStream,
         index: int | None,
         wait: float,
-        by: str,
-        where: Callable[[str], str] | None,
+        balancer: str,
+        address_of: Callable[[str], str] | None,
     ) -> None:
         if self.mode in ("sound", "late") and index is not None:
             with self._clock.limit(wait):
                 while self.registry.version <= index and self.mode == "sound":
                     await self._news.wait()
-        await self._clock.sleep(self._twists.get(by, ("", 0.0))[1])
+        await self._clock.sleep(self._twists.get(balancer, ("", 0.0))[1])
         async with self._one:
-            await self._answer(stream, index, by, where)
+            await self._answer(stream, index, balancer, address_of)
 
     async def _answer(
-        self, stream: SocketStream, index: int | None, by: str, where: Callable[[str], str] | None
+        self, stream: SocketStream, index: int | None, balancer: str, address_of: Callable[[str], str] | None
     ) -> None:
         match self.mode:
             case "hung":
@@ -191,10 +191,10 @@
             case "unavailable":
                 return await stream.send(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
             case "garbage":
-                return await stream.send(_GARBAGE[self.calls % len(_GARBAGE)])
+                return await stream.send(_GARBAGE[self.call_count % len(_GARBAGE)])
             case "reset" | "absent":
                 return await reset(stream)
-        twist, _ = self._twists.get(by, ("plain", 0.0))
+        twist, _ = self._twists.get(balancer, ("plain", 0.0))
         told = self.registry.answer(index if twist in ("plain", "late") else None)
         missing: list[dict[str, Any]] = []
         if twist == "reversed":
@@ -205,11 +205,13 @@
             missing = [{**entry, "state": "left"} for entry in whole[len(told["servers"]) :]]
         if self.mode == "older":
             told = {**self.registry.answer(None), "version": 1}
-        if where is not None:
-            told["servers"] = [{**entry, "addr": where(entry["id"])} for entry in told["servers"]]
+        if address_of is not None:
+            told["servers"] = [{**entry, "addr": address_of(entry["id"])} for entry in told["servers"]]
         body = json.dumps(told).encode()
         await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-        self.sent += len(body)
+        self.bytes_sent += len(body)
         for entry in [*told["servers"], *missing]:
             started = float(entry["started_ms"])
-            self._trace.add(EventKind.LISTED, server=entry["id"], detail=entry["state"], by=by, ms=started)
+            self._trace.add(
+                EventKind.LISTED, server=entry["id"], detail=entry["state"], balancer=balancer, ms=started
+            )
--- a/puffinford/standins/fleet.py
+++ b/puffinford/standins/fleet.py
@@ -65,16 +65,16 @@
         self.now = 1_000_000.0
         self.rng = random.Random(seed)
         self.servers = [Server(f"s-{seed}-{n}", weight=sizes[n % len(sizes)]) for n in range(servers)]
-        self.sends: list[tuple[float, int, str]] = []  # time in ms, balancer, server
-        self.calls: list[float] = []  # when lists were asked for
-        self.standing: dict[str, OpenConnection] = {}
+        self.placements: list[tuple[float, int, str]] = []  # time in ms, balancer, server
+        self.list_requests: list[float] = []  # when lists were asked for
+        self.connections: dict[str, OpenConnection] = {}
         self.refused = 0
         self.attempts = 0
         self.dead: set[str] = set()
         self.dropping: dict[str, float] = {}  # servers that drop each connection so many ms after it stands
-        self._drops: list[tuple[float, int, str, str]] = []  # when, balancer, request, server
-        self.cpu = 0.0  # seconds that the modules took ...
-        self.events = 0  # ... for so many events
+        self._pending_drops: list[tuple[float, int, str, str]] = []  # when, balancer, request, server
+        self.cpu_seconds = 0.0  # seconds that the modules took ...
+        self.event_count = 0  # ... for so many events
         self._count = 0
         self._timers: list[tuple[float, int, int]] = []
         self.settings = [
@@ -103,22 +103,22 @@
         """Give one balancer one event, and look at what it asks for besides placing."""
         began = time.process_time()
         actions = self.balancers[me].handle(self.now, [event])  # type: ignore[list-item]
-        self.cpu += time.process_time() - began
-        self.events += 1
+        self.cpu_seconds += time.process_time() - began
+        self.event_count += 1
         for action in actions:
             if isinstance(action, Subscribe):
-                self.calls.append(self.now)
+                self.list_requests.append(self.now)
             elif isinstance(action, SetTimer):
                 heapq.heappush(self._timers, (self.now + action.delay, me, action.token))
             elif isinstance(action, Move):
-                self.standing.pop(action.id, None)
+                self.connections.pop(action.id, None)
         return actions
 
     def advance(self, until: float) -> None:
         """Let time pass; what modules asked to be woken for, and what sick servers drop, comes in order."""
         while True:
             timer = self._timers[0][0] if self._timers else float("inf")
-            drop = self._drops[0][0] if self._drops else float("inf")
+            drop = self._pending_drops[0][0] if self._pending_drops else float("inf")
             if min(timer, drop) > until:
                 break
             if timer <= drop:
@@ -126,15 +126,15 @@
                 self.now = max(self.now, at)
                 self.handle(me, Timer(token))
                 continue
-            at, me, ident, server = heapq.heappop(self._drops)
+            at, me, ident, server = heapq.heappop(self._pending_drops)
             self.now = max(self.now, at)
-            held = self.standing.get(ident)
+            held = self.connections.get(ident)
             if held is not None and held.server == server:
-                del self.standing[ident]
+                del self.connections[ident]
                 self.handle(me, Outcome(ident, held.attempt, server, Result.RESET, 0.0, True))
         self.now = until
 
-    def tell(self, servers: list[Server], within: float = 0.0) -> None:
+    def announce(self, servers: list[Server], within: float = 0.0) -> None:
         """All balancers hear of changes, each at a time of its own within so many ms."""
         start = self.now
         times = sorted((self.rng.random() * within, me) for me in range(len(self.balancers)))
@@ -144,8 +144,8 @@
 
     def restart(self, me: int, known: list[Server]) -> None:
         """One balancer dies and starts anew from the list that it last had; its clients are cut off."""
-        for ident in [ident for ident, held in self.standing.items() if held.balancer == me]:
-            del self.standing[ident]
+        for ident in [ident for ident, held in self.connections.items() if held.balancer == me]:
+            del self.connections[ident]
         self._count += 1
         self.balancers[me] = Balancer(self.settings[me], self._count)
         self.handle(me, ServerList(ListKind.RESTORED, known))
@@ -153,9 +153,9 @@
     def fail_servers(self, servers: set[str]) -> int:
         """Servers die with what stands there; tells how many clients were cut off."""
         self.dead |= servers
-        cut = [ident for ident, held in self.standing.items() if held.server in servers]
+        cut = [ident for ident, held in self.connections.items() if held.server in servers]
         for ident in cut:
-            held = self.standing.pop(ident)
+            held = self.connections.pop(ident)
             self.handle(held.balancer, Outcome(ident, 0, held.server, Result.RESET, 0.0, True))
         return len(cut)
 
@@ -169,7 +169,7 @@
 
     def leave(self, ident: str) -> None:
         """A client that stands ends its connection itself; nothing where it stands no more."""
-        held = self.standing.pop(ident, None)
+        held = self.connections.pop(ident, None)
         if held is not None:
             self.handle(held.balancer, ClientLeft(ident))
 
@@ -189,12 +189,12 @@
                 return None
             self.attempts += 1
             if sent.server not in self.dead:
-                self.sends.append((self.now, me, sent.server))
-                self.standing[ident] = OpenConnection(me, sent.server, group, number)
+                self.placements.append((self.now, me, sent.server))
+                self.connections[ident] = OpenConnection(me, sent.server, group, number)
                 self.handle(me, Established(ident, number, sent.server, 5.0))
                 if sent.server in self.dropping:
                     heapq.heappush(
-                        self._drops, (self.now + self.dropping[sent.server], me, ident, sent.server)
+                        self._pending_drops, (self.now + self.dropping[sent.server], me, ident, sent.server)
                     )
                 return ident
             actions = self.handle(me, Outcome(ident, number, sent.server, Result.CONNECT_FAILED, 0.0))
@@ -202,22 +202,24 @@
 
     # What came of it
 
-    def peak(self, server: str, window: float = 1_000.0) -> int:
+    def peak_placements(self, server: str, window: float = 1_000.0) -> int:
         """The most openings at a server in any window of so many ms."""
-        times = [at for at, _, to in self.sends if to == server]
+        times = [at for at, _, to in self.placements if to == server]
         return max((sum(at <= t < at + window for t in times) for at in times), default=0)
 
-    def call_peak(self, window: float = 250.0) -> int:
+    def peak_list_requests(self, window: float = 250.0) -> int:
         """The most calls for lists in any window of so many ms."""
-        return max((sum(at <= t < at + window for t in self.calls) for at in self.calls), default=0)
+        return max(
+            (sum(at <= t < at + window for t in self.list_requests) for at in self.list_requests), default=0
+        )
 
-    def held(self) -> Counter[str]:
+    def connections_by_server(self) -> Counter[str]:
         """Connections that stand at each server."""
-        return Counter(held.server for held in self.standing.values())
+        return Counter(held.server for held in self.connections.values())
 
-    def pairs(self) -> int:
+    def server_group_pairs(self) -> int:
         """Pairs of a server and a group that it holds any of: what servers pay for."""
-        return len({(held.server, held.group) for held in self.standing.values()})
+        return len({(held.server, held.group) for held in self.connections.values()})
 
 
 def restarted(servers: list[Server], at: float) -> list[Server]:
--- a/puffinford/standins/holding.py
+++ b/puffinford/standins/holding.py
@@ -15,7 +15,7 @@
 from puffinford.fronts.sockets import LineReader
 from puffinford.standins.listeners import LineStream
 
-STATES = ("fresh", "rested", "half", "standing")  # how far a connection has come before SIGTERM
+HELD_STATES = ("fresh", "rested", "half", "standing")  # how far a connection has come before SIGTERM
 HALF = 20  # bytes of a request that is written by half
 CHANNEL = 1  # the client's number of its one channel
 WINDOW = 1 << 20  # bytes that a balancer may send on it
@@ -119,7 +119,7 @@
             return request[:HALF], request[HALF:]
         case "standing":
             return request, b""
-    raise ValueError(f"{state!r} is none of {' '.join(STATES)}")
+    raise ValueError(f"{state!r} is none of {' '.join(HELD_STATES)}")
 
 
 def line_script(state: str, opening: bytes) -> Script:
--- a/puffinford/standins/listeners.py
+++ b/puffinford/standins/listeners.py
@@ -124,7 +124,7 @@
             self.streams.discard(stream)
             await anyio.aclose_forcefully(stream)
 
-    async def break_all(self) -> None:
+    async def reset_all(self) -> None:
         """End all that is open with RST, as a process that dies does."""
         for stream in list(self.streams):
             await reset(stream)
--- a/puffinford/standins/lists.py
+++ b/puffinford/standins/lists.py
@@ -26,8 +26,8 @@
     """What has come to one port, and gone out; bytes without those of TCP and IP."""
 
     calls: int = 0
-    received: int = 0
-    sent: int = 0
+    bytes_received: int = 0
+    bytes_sent: int = 0
 
 
 @dataclass
@@ -38,8 +38,8 @@
     registry: EntryRegistry = field(default_factory=EntryRegistry)
     counts: dict[str, CallCounts] = field(default_factory=dict)
     calls_by_second: Counter[int] = field(default_factory=Counter)
-    queue_most: int = 0
-    broken: int = 0  # connections that were reset
+    max_queue_length: int = 0
+    reset_count: int = 0  # connections that were reset
     silent: set[str] = field(default_factory=set)  # groups whose calls are taken and never answered
 
     def __post_init__(self) -> None:
@@ -72,11 +72,11 @@
         for server in self._servers:
             server.close()
         self._servers.clear()
-        self.break_all()
+        self.reset_all()
 
-    def break_all(self) -> None:
+    def reset_all(self) -> None:
         """End every connection with RST, as a process that dies does."""
-        self.broken += len(self._open)
+        self.reset_count += len(self._open)
         for call in list(self._open):
             call.abort()
 
@@ -121,7 +121,7 @@
             call.answer(self._body(call.index))
             return
         self._queue.append(call)
-        self.queue_most = max(self.queue_most, len(self._queue))
+        self.max_queue_length = max(self.max_queue_length, len(self._queue))
         if len(self._queue) == 1:
             self._serve_next()
 
@@ -171,7 +171,7 @@
         self._service.opened(self)
 
     def data_received(self, data: bytes) -> None:
-        self._counts.received += len(data)
+        self._counts.bytes_received += len(data)
         self._head += data
         if len(self._head) > HEAD_MOST:
             self._transport.abort()
@@ -198,7 +198,7 @@
 
     def answer(self, body: bytes) -> None:
         """Write the answer, and end the connection in order."""
-        self._counts.sent += len(body)
+        self._counts.bytes_sent += len(body)
         self._transport.write(body)
         self._transport.close()
 
--- a/puffinford/standins/servers.py
+++ b/puffinford/standins/servers.py
@@ -14,7 +14,7 @@
 from puffinford.standins.trace import EventKind, Trace
 
 LOAD_REPORT_INTERVAL_MS = 1_000.0  # ms between notes of slow messages
-STATES = (
+SERVER_STATES = (
     "sound", "refusing", "unreachable", "silent", "resetting",
     "dropping", "busy", "failing", "draining", "slow",
 )  # fmt: skip
@@ -38,22 +38,22 @@
 
 
 class LineServer:
-    """A stand-in server. It starts stopped; `become` one of STATES, or `start` it cold."""
+    """A stand-in server. It starts stopped; `set_state` one of SERVER_STATES, or `start` it cold."""
 
     def __init__(
         self,
         ident: str,
-        make: ServerProfile,
+        profile: ServerProfile,
         clock: Clock,
         trace: Trace,
         rng: random.Random,
         tasks: anyio.abc.TaskGroup,
     ) -> None:
         self.id = ident
-        self.make = make
+        self.profile = profile
         self.state = "refusing"
-        self.started: float = 0.0  # on the clock; 0: long ago
-        self.standing = 0
+        self.started_at: float = 0.0  # on the clock; 0: long ago
+        self.open_connections = 0
         self._clock = clock
         self._trace = trace
         self._rng = rng
@@ -68,10 +68,10 @@
         """HOST:PORT, the same for as long as it is there."""
         return f"{HOST}:{self._port.number}"
 
-    def become(self, state: str) -> None:
+    def set_state(self, state: str) -> None:
         """Change what it does, for those that stand there too."""
-        if state not in STATES:
-            raise ValueError(f"{state!r} is none of {' '.join(STATES)}")
+        if state not in SERVER_STATES:
+            raise ValueError(f"{state!r} is none of {' '.join(SERVER_STATES)}")
         was, self.state = self.state, state
         if state == "refusing":
             self._port.close()
@@ -85,31 +85,35 @@
 
     def start(self, *, cold: bool = False) -> None:
         """Start, or start again."""
-        self.started = self._clock.now() if cold else 0.0
-        self.become("sound")
+        self.started_at = self._clock.now() if cold else 0.0
+        self.set_state("sound")
         if cold:
             self._trace.add(EventKind.STATE, server=self.id, detail="cold")
 
     async def crash(self) -> None:
         """Die: what stands is reset, and new connections are refused."""
-        self.become("refusing")
+        self.set_state("refusing")
         for job in self._jobs:
-            self._trace.add(EventKind.BROKEN, job=job, server=self.id)
+            self._trace.add(EventKind.BROKEN, request_id=job, server=self.id)
         self._jobs.clear()
-        await self._port.break_all()
+        await self._port.reset_all()
 
     def capacity_share(self) -> float:
         """The part of its capacity that it has now."""
-        if not self.started or not self.make.warm_ms:
+        if not self.started_at or not self.profile.warm_ms:
             return 1.0
-        age = (self._clock.now() - self.started) / self.make.warm_ms
-        return min(1.0, self.make.cold_from + (1.0 - self.make.cold_from) * age)
+        age = (self._clock.now() - self.started_at) / self.profile.warm_ms
+        return min(1.0, self.profile.cold_from + (1.0 - self.profile.cold_from) * age)
 
     def delay(self) -> float:
         """How long a message takes now, in ms: longer the more it holds past `crowded`."""
-        room = max(1.0, self.make.capacity * self.capacity_share())
-        over = max(0.0, self.standing / room - self.make.crowded)
-        return self.make.message * (1.0 + 10.0 * over) * (self.make.slow_by if self.state == "slow" else 1.0)
+        room = max(1.0, self.profile.capacity * self.capacity_share())
+        over = max(0.0, self.open_connections / room - self.profile.crowded)
+        return (
+            self.profile.message
+            * (1.0 + 10.0 * over)
+            * (self.profile.slow_by if self.state == "slow" else 1.0)
+        )
 
     async def _play(self, stream: SocketStream) -> None:
         lines = LineStream(stream)
@@ -123,16 +127,16 @@
             return
         self._claims += 1
         claim, job = f"{self.id}-{self._claims}", words[1]
-        self._trace.add(EventKind.ATTEMPT, job=job, server=self.id, detail=claim)
+        self._trace.add(EventKind.ATTEMPT, request_id=job, server=self.id, detail=claim)
         try:
             await self._open(stream, lines, claim, job)
         finally:
-            self._trace.add(EventKind.ATTEMPT_END, job=job, server=self.id, detail=claim)
+            self._trace.add(EventKind.ATTEMPT_END, request_id=job, server=self.id, detail=claim)
 
     async def _open(self, stream: SocketStream, lines: LineStream, claim: str, job: str) -> None:
-        full = self.standing >= self.make.capacity * self.capacity_share()
+        full = self.open_connections >= self.profile.capacity * self.capacity_share()
         if not (self.state in ("busy", "draining") or (full and self.state in SERVING_STATES)):
-            self._trace.add(EventKind.EXECUTED, job=job, server=self.id, detail=claim)
+            self._trace.add(EventKind.EXECUTED, request_id=job, server=self.id, detail=claim)
         if self.state == "silent":
             await lines.next()  # until the balancer gives it up
             return
@@ -141,11 +145,14 @@
         if self.state == "failing":
             await lines.send_line(b"ERR")
             return
-        if self.state in ("busy", "draining") or self.standing >= self.make.capacity * self.capacity_share():
+        if (
+            self.state in ("busy", "draining")
+            or self.open_connections >= self.profile.capacity * self.capacity_share()
+        ):
             await lines.send_line(b"BUSY")
             return
-        slow = self.make.slow_by if self.state == "slow" else 1.0
-        await self._clock.sleep(self.make.set_up * slow * self._rng.uniform(0.5, 1.5))
+        slow = self.profile.slow_by if self.state == "slow" else 1.0
+        await self._clock.sleep(self.profile.set_up * slow * self._rng.uniform(0.5, 1.5))
         self._jobs.add(job)  # it may crash before the next turn, with UP on its way
         try:
             if await lines.send_line(f"UP r-{claim}".encode()):
@@ -155,14 +162,14 @@
 
     async def _serve(self, stream: SocketStream, lines: LineStream, job: str) -> None:
         """A connection from its UP to its end."""
-        self.standing += 1
+        self.open_connections += 1
         try:
             if self.state == "dropping":
                 await self._drop(stream, lines, job)
             else:
                 await self._stand(stream, lines)
         finally:
-            self.standing -= 1
+            self.open_connections -= 1
 
     async def _drop(self, stream: SocketStream, lines: LineStream, job: str) -> None:
         """Reset a connection a moment after its UP, unless its other side ends it first."""
@@ -170,7 +177,7 @@
             while await lines.next() not in (LineStream.FIN, LineStream.RST):
                 pass
             return
-        self._trace.add(EventKind.BROKEN, job=job, server=self.id)
+        self._trace.add(EventKind.BROKEN, request_id=job, server=self.id)
         await reset(stream)
 
     async def _stand(self, stream: SocketStream, lines: LineStream) -> None:
--- a/puffinford/standins/trace.py
+++ b/puffinford/standins/trace.py
@@ -40,13 +40,15 @@
     """One thing at one time, in ms since the trace began."""
 
     at: float
-    what: EventKind
-    job: str = ""
+    kind: EventKind
+    request_id: str = ""
     server: str = ""
     cls: str = ""
     ms: float = 0.0  # how long it took, where that can be said; of a TOLD, the server's start in Unix ms
     detail: str = ""
-    by: str = ""  # the balancer that it came from or went to, where known; of a FAULT, the link or balancer
+    balancer: str = (
+        ""  # the balancer that it came from or went to, where known; of a FAULT, the link or balancer
+    )
 
 
 class Trace:
@@ -55,31 +57,33 @@
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
         self._began = now()
-        self.entries: list[TraceEvent] = []
+        self.events: list[TraceEvent] = []
         self.serving_started_at = 0.0  # ms: when the first client could come
         self.serving_ended_at = 0.0  # ms: when the last had come
-        self._through: dict[str, str] = {}  # the balancer that each job went to, where its client says
+        self._balancer_of_request: dict[
+            str, str
+        ] = {}  # the balancer that each job went to, where its client says
 
     @property
     def elapsed(self) -> float:
         """Ms since the trace began."""
         return self._now() - self._began
 
-    def add(self, what: EventKind, **more: object) -> None:
+    def add(self, kind: EventKind, **more: object) -> None:
         """See a thing now."""
-        entry = TraceEvent(self.elapsed, what, **more)  # type: ignore[arg-type]
-        if what is EventKind.REQUESTED:
-            self._through[entry.job] = entry.by
-        elif what in (EventKind.ATTEMPT, EventKind.EXECUTED, EventKind.ATTEMPT_END) and not entry.by:
-            entry = replace(entry, by=self._through.get(entry.job, ""))
-        self.entries.append(entry)
-
-    def of(self, *whats: EventKind) -> Iterator[TraceEvent]:
+        entry = TraceEvent(self.elapsed, kind, **more)  # type: ignore[arg-type]
+        if kind is EventKind.REQUESTED:
+            self._balancer_of_request[entry.request_id] = entry.balancer
+        elif kind in (EventKind.ATTEMPT, EventKind.EXECUTED, EventKind.ATTEMPT_END) and not entry.balancer:
+            entry = replace(entry, balancer=self._balancer_of_request.get(entry.request_id, ""))
+        self.events.append(entry)
+
+    def of(self, *kinds: EventKind) -> Iterator[TraceEvent]:
         """The entries of these kinds."""
-        return (entry for entry in self.entries if entry.what in whats)
+        return (entry for entry in self.events if entry.kind in kinds)
 
     def count(
-        self, what: EventKind, by: Callable[[TraceEvent], str] = lambda entry: entry.cls
+        self, kind: EventKind, by: Callable[[TraceEvent], str] = lambda entry: entry.cls
     ) -> Counter[str]:
         """How often a thing was seen, by class or by whatever `by` names."""
-        return Counter(by(entry) for entry in self.of(what))
+        return Counter(by(entry) for entry in self.of(kind))
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -134,7 +134,7 @@
     async with harness() as here:
         clock = Clock()
         lists = Discovery(clock, Trace(clock.now), here.tasks)
-        lists.become(listed)
+        lists.set_mode(listed)
         servers = [f"s-{n}" for n in range(1, count + len(own) + 1)]
         scripts = [*(_sound(ident, openings) for ident in servers[:count]), *own]
         for ident, script in zip(servers, scripts, strict=True):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -215,7 +215,7 @@
     made: dict[str, int] = {}
     for entry in trace.of(EventKind.ATTEMPT):
         if entry.server == server and since <= entry.at < until:
-            made[entry.by] = made.get(entry.by, 0) + 1
+            made[entry.balancer] = made.get(entry.balancer, 0) + 1
     return made
 
 
@@ -240,7 +240,9 @@
     assert len(struck_ones) == 2
     for name in struck_ones:
         first = next(
-            e for e in trace.of(EventKind.ATTEMPT) if e.by == name and e.server == "gw-1" and e.at > began
+            e
+            for e in trace.of(EventKind.ATTEMPT)
+            if e.balancer == name and e.server == "gw-1" and e.at > began
         )
         given_up = (
             next(e.at for e in trace.of(EventKind.ATTEMPT_END) if e.detail == first.detail)
@@ -271,7 +273,9 @@
     (frozen,) = next(event.names for event in play.script.events if event.do == "freeze")
     woken = at(trace, "wake")
     told_at = [
-        entry.at for entry in trace.of(EventKind.LISTED) if entry.by == frozen and entry.detail == "leaving"
+        entry.at
+        for entry in trace.of(EventKind.LISTED)
+        if entry.balancer == frozen and entry.detail == "leaving"
     ]
     assert told_at and min(told_at) < woken - 3_000.0, "what is written to it counts as told"
     assert [breach for breach in kept(trace) if "no answer" not in breach] == []
@@ -325,7 +329,7 @@
     lost = [entry.at for entry in trace.of(EventKind.LOST) if began <= entry.at < trace.serving_ended_at]
     assert kept(trace) == [] and all(when < began + 250.0 for when in lost)
     assert refused(trace, began) - refused(trace, woken) == 0
-    back = {entry.job for entry in trace.of(EventKind.UP) if entry.at > woken + 1_500.0}
+    back = {entry.request_id for entry in trace.of(EventKind.UP) if entry.at > woken + 1_500.0}
     assert len(back) >= 30 and len(list(trace.of(EventKind.CUT_OFF))) >= 4
 
 
@@ -335,7 +339,7 @@
     _, trace = played(tmp_path, told(6.0, [slow]))
     assert kept(trace) == []
     began, ended = at(trace, "delay 300"), at(trace, "sound")
-    jobs = [entry.job for entry in trace.of(EventKind.ATTEMPT) if began <= entry.at < ended]
+    jobs = [entry.request_id for entry in trace.of(EventKind.ATTEMPT) if began <= entry.at < ended]
     assert len(jobs) == len(set(jobs)) >= 60, "one claim a job"
     ups = [entry.ms for entry in trace.of(EventKind.UP) if began + 700.0 <= entry.at < ended]
     assert sum(ms >= 600.0 for ms in ups) >= 10 <= sum(ms < 300.0 for ms in ups)
@@ -346,8 +350,8 @@
     """One that was told late is not blamed for it, and one that goes on sending is."""
     times = iter([0.0, 0.0, 500.0, 3_400.0, 3_600.0])
     trace = Trace(lambda: next(times))
-    trace.add(EventKind.LISTED, server="a", detail="leaving", by="n1")
-    trace.add(EventKind.LISTED, server="a", detail="leaving", by="n2")
-    trace.add(EventKind.ATTEMPT, job="late", server="a", by="n1", detail="1")
-    trace.add(EventKind.ATTEMPT, job="later", server="a", by="n2", detail="2")
+    trace.add(EventKind.LISTED, server="a", detail="leaving", balancer="n1")
+    trace.add(EventKind.LISTED, server="a", detail="leaving", balancer="n2")
+    trace.add(EventKind.ATTEMPT, request_id="late", server="a", balancer="n1", detail="1")
+    trace.add(EventKind.ATTEMPT, request_id="later", server="a", balancer="n2", detail="2")
     assert [breach.partition(":")[0] for breach in checks.draining_servers_spared(trace)] == ["late", "later"]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -40,14 +40,14 @@
     fleet = Fleet(9, BALANCERS, seed)
     fleet.arrive(300, 5_000.0, groups=60)
     new = restarted([Server(f"new-{n}") for n in range(3)], fleet.now - 2_000.0)
-    fleet.tell(new)
+    fleet.announce(new)
     fleet.arrive(40, 4_000.0, groups=60)
     fleet.arrive(400, 1_500.0, groups=60)  # most balancers have restarted, and their clients come back
     warmth = 0.13 + 0.87 * 7.5 / 23.0
     budget = SLACK * 3.0 * SIMULATED_WARM_CAPACITY / QUOTA_FRACTION * 9 / 12 * warmth / 23.0
     for server in new:
-        assert fleet.peak(server.id) <= budget + 1
-        assert fleet.held()[server.id] >= 10, "and yet each is filled"
+        assert fleet.peak_placements(server.id) <= budget + 1
+        assert fleet.connections_by_server()[server.id] >= 10, "and yet each is filled"
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
@@ -56,15 +56,15 @@
     fleet = Fleet(9, 3, seed, sizes=(6.0, 6.0, 2.0), quotas=False)
     fleet.arrive(100, 20_000.0, groups=60)
     cold = [server for server in fleet.servers if server.weight == 2.0][:1]
-    fleet.tell(restarted(cold, fleet.now - 800.0))
+    fleet.announce(restarted(cold, fleet.now - 800.0))
     fleet.arrive(60, 1_500.0, groups=60)  # a balancer has changed versions, and its clients come back
     warmth = 0.13 + 0.87 * 2.3 / 23.0
     budget = (
         SLACK * 3.0 * DEFAULT_WARM_CAPACITY * (2.0 / 4.67) * warmth / 23.0
     )  # turns of two balancers may be left
-    assert fleet.peak(cold[0].id) <= 2 + budget
+    assert fleet.peak_placements(cold[0].id) <= 2 + budget
     fleet.arrive(60, 8_000.0, groups=60)
-    assert fleet.held()[cold[0].id] >= 2, "and yet it is filled"
+    assert fleet.connections_by_server()[cold[0].id] >= 2, "and yet it is filled"
 
 
 def _ramp_over(balancers: int, seed: int) -> float:
@@ -88,7 +88,7 @@
     started = fleet.now - 500.0
     new = restarted([Server(f"new-{seed}-{n}") for n in range(3)], started)
     crowd(30, 300.0)
-    fleet.tell(new, within=2_000.0)
+    fleet.announce(new, within=2_000.0)
     crowd(200, 3_000.0)
     known = fleet.servers + new
     for me in rng.sample(range(balancers), max(1, balancers * 3 // 10)):
@@ -98,7 +98,7 @@
     crowd(400, 5_000.0)
     worst = -float("inf")
     for server in new:
-        times = [at for at, _, to in fleet.sends if to == server.id]
+        times = [at for at, _, to in fleet.placements if to == server.id]
         assert len(times) >= 8, "and yet it is filled"
         for at in times:
             sent = sum(at <= time < at + 1_000.0 for time in times)
@@ -121,10 +121,10 @@
     worst = []
     for seed in range(1, 6):
         fleet = Fleet(9, BALANCERS, seed)
-        fleet.tell(removed(fleet.servers[:5]))
+        fleet.announce(removed(fleet.servers[:5]))
         fleet.arrive(200, 4_000.0, groups=10)
-        worst.append(max(fleet.held().values()))
-        assert fleet.pairs() <= 14, "ten groups, and few of them at more than one server"
+        worst.append(max(fleet.connections_by_server().values()))
+        assert fleet.server_group_pairs() <= 14, "ten groups, and few of them at more than one server"
     assert sum(worst) / len(worst) <= 0.6 * 200
 
 
@@ -139,7 +139,7 @@
     for me in range(BALANCERS):
         ident = fleet.place(77, me)
         assert ident is not None
-        homes.add(fleet.standing[ident].server)
+        homes.add(fleet.connections[ident].server)
         fleet.leave(ident)
     assert (len(homes) <= 2) if together else (len(homes) == 9), "as many homes as slices start at servers"
 
@@ -151,7 +151,7 @@
         fleet.arrive(200, 4_000.0, groups=10)
         cut = fleet.fail_servers({server.id for server in fleet.servers[:4]})
         fleet.arrive(cut, 1_000.0, groups=10)
-        assert fleet.pairs() <= 16, "28 before, of ten groups"
+        assert fleet.server_group_pairs() <= 16, "28 before, of ten groups"
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
@@ -159,7 +159,7 @@
     """Each moved its one connection at the same note: all went to the next server, and that was late then."""
     fleet = Fleet(9, BALANCERS, seed)
     fleet.arrive(40, 4_000.0, groups=1)
-    ((home, held),) = fleet.held().most_common(1)
+    ((home, held),) = fleet.connections_by_server().most_common(1)
     moved = 0
     for me in range(BALANCERS):
         moved += sum(isinstance(action, Move) for action in fleet.handle(me, DelayUpdate("", home, 150.0)))
@@ -192,8 +192,8 @@
     for me in range(BALANCERS):
         fleet.restart(me, fleet.servers)
     fleet.advance(fleet.now + 10_000.0)
-    assert len(fleet.calls) == BALANCERS
-    assert fleet.call_peak() <= 0.5 * BALANCERS
+    assert len(fleet.list_requests) == BALANCERS
+    assert fleet.peak_list_requests() <= 0.5 * BALANCERS
 
 
 @pytest.mark.parametrize("balancers", [1, 3])
@@ -221,7 +221,7 @@
         fleet.dropping.update(dict.fromkeys(chosen, 200.0))
     start = fleet.now
     fleet.arrive(4_000, 10_000.0, groups=40)
-    return sum(server in chosen and at >= start + 5_000.0 for at, _, server in fleet.sends)
+    return sum(server in chosen and at >= start + 5_000.0 for at, _, server in fleet.placements)
 
 
 @pytest.mark.parametrize("quotas", [True, False])
--- a/tests/test_relay_processes.py
+++ b/tests/test_relay_processes.py
@@ -62,7 +62,7 @@
     async def open(self) -> None:
         for ident in self.servers.openings:
             self.source.registry.put(ident, addr=await self.servers.open(ident))
-        self.source.become("sound")
+        self.source.set_mode("sound")
 
     async def relay(self, name: str, upstream: int, port: int = 0) -> tuple[Program, int]:
         """A relay process and its port."""
@@ -216,7 +216,7 @@
         old = Discovery(Clock(), Trace(Clock().now), here.tasks)
         for ident, listed in here.source.registry.entries.items():
             old.registry.put(ident, addr=listed["addr"])
-        old.become("sound")
+        old.set_mode("sound")
         here.source.registry.version = 50
         upstream = int(here.source.address.partition(":")[2])
         (first, port), (second, other) = [await here.relay(f"r{number}", upstream) for number in (1, 2)]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -286,7 +286,7 @@
         for registry in (other.registry, lean.registry):
             registry.put("a", addr="127.0.0.1:1")
             registry.put("b", addr="127.0.0.1:2", state="leaving")
-        other.become("sound")
+        other.set_mode("sound")
         addresses = await lean.open(["all"])
         for call in calls:
             assert await asked(addresses["all"], call) == await asked(other.address, call)
@@ -313,7 +313,7 @@
         assert not answers
         lean.put("b", addr="127.0.0.1:2")
     assert answers.total() == 20 and len(answers) == 1
-    assert lean.queue_most == 20, "all waited for their turn"
+    assert lean.max_queue_length == 20, "all waited for their turn"
     lean.close()
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -100,12 +100,12 @@
 def test_a_crowd_excuses_none_but_new_connections_of_its_time(how: str, at: float, wrong: bool) -> None:
     """Idle clients that fill the descriptors may have new connections shut unread, and no others."""
     trace = trace_of(
-        (0.0, EventKind.FAULT, {"by": "n1", "detail": "crowd 400"}),
-        (at, EventKind.REQUESTED, {"job": "a", "cls": "class-0", "by": "n1", "detail": how}),
-        (at + 9.0, EventKind.LOST, {"job": "a", "cls": "class-0", "ms": 9.0, "detail": "RST"}),
+        (0.0, EventKind.FAULT, {"balancer": "n1", "detail": "crowd 400"}),
+        (at, EventKind.REQUESTED, {"request_id": "a", "cls": "class-0", "balancer": "n1", "detail": how}),
+        (at + 9.0, EventKind.LOST, {"request_id": "a", "cls": "class-0", "ms": 9.0, "detail": "RST"}),
     )
     if at > 1_000.0:
-        trace.entries.insert(1, replace(trace.entries[0], at=1_000.0, detail="wake"))
+        trace.events.insert(1, replace(trace.events[0], at=1_000.0, detail="wake"))
     assert bool(lost(trace, draw(11, SMALL), 0.0)) is wrong
 
 
@@ -118,26 +118,32 @@
 )
 def test_a_doubled_effect_is_found(cls: str, again: float, wrong: bool) -> None:
     trace = trace_of(
-        (0.0, EventKind.REQUESTED, {"job": "a", "cls": cls}),
-        (1.0, EventKind.EXECUTED, {"job": "a", "server": "s"}),
-        (1.0 + again, EventKind.EXECUTED, {"job": "a", "server": "t"}),
+        (0.0, EventKind.REQUESTED, {"request_id": "a", "cls": cls}),
+        (1.0, EventKind.EXECUTED, {"request_id": "a", "server": "s"}),
+        (1.0 + again, EventKind.EXECUTED, {"request_id": "a", "server": "t"}),
     )
     assert bool(checks.effects_not_repeated(trace, KINDS)) is wrong
 
 
 def test_a_refusal_of_what_may_have_run_is_found() -> None:
-    told = [(0.0, EventKind.REQUESTED, {"job": "a", "cls": "once"}), (1.0, EventKind.EXECUTED, {"job": "a"})]
-    assert checks.effects_not_repeated(trace_of(*told, (2.0, EventKind.BUSY, {"job": "a"})), KINDS)
-    assert not checks.effects_not_repeated(trace_of(*told, (2.0, EventKind.FAILED, {"job": "a"})), KINDS)
+    told = [
+        (0.0, EventKind.REQUESTED, {"request_id": "a", "cls": "once"}),
+        (1.0, EventKind.EXECUTED, {"request_id": "a"}),
+    ]
+    assert checks.effects_not_repeated(trace_of(*told, (2.0, EventKind.BUSY, {"request_id": "a"})), KINDS)
+    assert not checks.effects_not_repeated(
+        trace_of(*told, (2.0, EventKind.FAILED, {"request_id": "a"})), KINDS
+    )
 
 
 @pytest.mark.parametrize(("number", "wrong"), [(6, False), (9, True)])
 def test_a_flooded_cold_server_is_found(number: int, wrong: bool) -> None:
     """0.68 openings are allowed in the first second of one that carries 40: with chance 6.1."""
     openings = [
-        (10.0 * n, EventKind.ATTEMPT, {"job": f"a{n}", "server": "s", "by": "n1"}) for n in range(number)
+        (10.0 * n, EventKind.ATTEMPT, {"request_id": f"a{n}", "server": "s", "balancer": "n1"})
+        for n in range(number)
     ]
     start = (0.0, EventKind.STATE, {"server": "s", "detail": "cold"})
-    told = (0.0, EventKind.LISTED, {"server": "s", "by": "n1", "ms": 5.0})
+    told = (0.0, EventKind.LISTED, {"server": "s", "balancer": "n1", "ms": 5.0})
     assert bool(checks.slow_start_kept(trace_of(start, told, *openings), {"s": 40.0})) is wrong
     assert not checks.slow_start_kept(trace_of(start, *openings), {"s": 40.0}), "nobody had been told"
--- a/tests/test_stage.py
+++ b/tests/test_stage.py
@@ -174,20 +174,24 @@
     until: float, late: int
 ) -> None:
     trace = trace_of(
-        (1_000.0, EventKind.FAULT, {"by": "n1>discovery", "detail": "hold back"}),
-        (1_500.0, EventKind.LISTED, {"server": "a", "detail": "leaving", "by": "n1"}),
-        (1_500.0 + until - 1_500.0, EventKind.FAULT, {"by": "n1>discovery", "detail": "sound"}),
-        (6_500.0, EventKind.ATTEMPT, {"job": "j", "server": "a", "by": "n1", "detail": "1"}),
+        (1_000.0, EventKind.FAULT, {"balancer": "n1>discovery", "detail": "hold back"}),
+        (1_500.0, EventKind.LISTED, {"server": "a", "detail": "leaving", "balancer": "n1"}),
+        (1_500.0 + until - 1_500.0, EventKind.FAULT, {"balancer": "n1>discovery", "detail": "sound"}),
+        (6_500.0, EventKind.ATTEMPT, {"request_id": "j", "server": "a", "balancer": "n1", "detail": "1"}),
     )
     assert len(checks.draining_servers_spared(trace)) == late
 
 
 def test_what_is_missed_counts_as_told_though_the_link_never_comes_back() -> None:
     trace = trace_of(
-        (1_000.0, EventKind.FAULT, {"by": "n1>discovery", "detail": "drop"}),
-        (1_500.0, EventKind.LISTED, {"server": "a", "detail": "leaving", "by": "n1"}),
-        (10_900.0, EventKind.ATTEMPT, {"job": "early", "server": "a", "by": "n1", "detail": "1"}),
-        (11_100.0, EventKind.ATTEMPT, {"job": "late", "server": "a", "by": "n1", "detail": "2"}),
+        (1_000.0, EventKind.FAULT, {"balancer": "n1>discovery", "detail": "drop"}),
+        (1_500.0, EventKind.LISTED, {"server": "a", "detail": "leaving", "balancer": "n1"}),
+        (
+            10_900.0,
+            EventKind.ATTEMPT,
+            {"request_id": "early", "server": "a", "balancer": "n1", "detail": "1"},
+        ),
+        (11_100.0, EventKind.ATTEMPT, {"request_id": "late", "server": "a", "balancer": "n1", "detail": "2"}),
     )
     assert [breach.partition(":")[0] for breach in checks.draining_servers_spared(trace)] == ["late"]
 
@@ -195,16 +199,18 @@
 @pytest.mark.parametrize(("link", "broken"), [("n1>a", 0), ("n1>b", 1)])
 def test_a_claim_behind_a_link_that_passes_nothing_is_not_taken_for_out(link: str, broken: int) -> None:
     trace = trace_of(
-        (0.0, EventKind.REQUESTED, {"job": "j", "by": "n1"}),
-        (100.0, EventKind.FAULT, {"by": link, "detail": "hold there"}),
-        (200.0, EventKind.ATTEMPT, {"job": "j", "server": "a", "detail": "1"}),
-        (1_300.0, EventKind.ATTEMPT, {"job": "j", "server": "c", "detail": "2"}),
-        (2_000.0, EventKind.FAULT, {"by": link, "detail": "sound"}),
-        (2_010.0, EventKind.ATTEMPT_END, {"job": "j", "server": "a", "detail": "1"}),
-        (2_500.0, EventKind.ATTEMPT_END, {"job": "j", "server": "c", "detail": "2"}),
+        (0.0, EventKind.REQUESTED, {"request_id": "j", "balancer": "n1"}),
+        (100.0, EventKind.FAULT, {"balancer": link, "detail": "hold there"}),
+        (200.0, EventKind.ATTEMPT, {"request_id": "j", "server": "a", "detail": "1"}),
+        (1_300.0, EventKind.ATTEMPT, {"request_id": "j", "server": "c", "detail": "2"}),
+        (2_000.0, EventKind.FAULT, {"balancer": link, "detail": "sound"}),
+        (2_010.0, EventKind.ATTEMPT_END, {"request_id": "j", "server": "a", "detail": "1"}),
+        (2_500.0, EventKind.ATTEMPT_END, {"request_id": "j", "server": "c", "detail": "2"}),
     )
     assert len(checks.no_overlapping_attempts(trace)) == broken
-    assert {entry.by for entry in trace.of(EventKind.ATTEMPT)} == {"n1"}, "named by where its client went"
+    assert {entry.balancer for entry in trace.of(EventKind.ATTEMPT)} == {"n1"}, (
+        "named by where its client went"
+    )
 
 
 @pytest.mark.anyio
@@ -214,10 +220,12 @@
         discovery = Discovery(here.clock, trace, here.tasks)
         for n in range(6):
             discovery.registry.put(f"s-{n}", addr=f"127.0.0.1:{7_000 + n}")
-        views = {by: discovery.view(by, lambda ident: f"127.0.0.1:{ident[2:]}") for by in ("n1", "n2", "n3")}
-        discovery.become("sound")
-        discovery.twist("n1", "reversed")
-        discovery.twist("n2", "short")
+        views = {
+            by: discovery.add_view(by, lambda ident: f"127.0.0.1:{ident[2:]}") for by in ("n1", "n2", "n3")
+        }
+        discovery.set_mode("sound")
+        discovery.set_twist("n1", "reversed")
+        discovery.set_twist("n2", "short")
 
         async def listed(by: str) -> list[str]:
             _, body = await http_call(int(views[by].rpartition(":")[2]), "GET /v1/servers")
@@ -226,7 +234,9 @@
         assert await listed("n3") == [f"s-{n}" for n in range(6)]
         assert await listed("n1") == [f"s-{n}" for n in reversed(range(6))]
         assert await listed("n2") == ["s-0", "s-1", "s-2", "s-3"]
-        gone = {(entry.server, entry.by) for entry in trace.of(EventKind.LISTED) if entry.detail == "left"}
+        gone = {
+            (entry.server, entry.balancer) for entry in trace.of(EventKind.LISTED) if entry.detail == "left"
+        }
         assert gone == {("s-4", "n2"), ("s-5", "n2")}, "what a whole list does not name is gone"
         here.tasks.cancel_scope.cancel()
 
@@ -249,9 +259,9 @@
 
 def test_loads_idle_servers_and_refusals_with_room_are_counted() -> None:
     entries: list[tuple[float, EventKind, dict[str, Any]]] = [
-        (float(n), EventKind.UP, {"job": f"j{n}", "server": "a"}) for n in range(100)
+        (float(n), EventKind.UP, {"request_id": f"j{n}", "server": "a"}) for n in range(100)
     ]
-    entries += [(2_500.0, EventKind.DONE, {"server": "a"}), (3_500.0, EventKind.BUSY, {"job": "late"})]
+    entries += [(2_500.0, EventKind.DONE, {"server": "a"}), (3_500.0, EventKind.BUSY, {"request_id": "late"})]
     trace = trace_of(
         *entries,
         (3_600.0, EventKind.STATE, {"server": "b", "detail": "silent"}),
@@ -268,13 +278,13 @@
 
 def test_a_report_has_tables_a_picture_and_the_faults_as_spans(tmp_path: Path) -> None:
     trace = trace_of(
-        (100.0, EventKind.REQUESTED, {"job": "j", "cls": "price-lookup", "by": "n1"}),
-        (105.0, EventKind.UP, {"job": "j", "cls": "price-lookup", "server": "gw", "ms": 5.0}),
-        (1_000.0, EventKind.FAULT, {"by": "n1", "detail": "freeze"}),
-        (1_001.0, EventKind.FAULT, {"by": "n2", "detail": "freeze"}),
-        (5_000.0, EventKind.FAULT, {"by": "n1", "detail": "wake"}),
-        (5_001.0, EventKind.FAULT, {"by": "n2", "detail": "wake"}),
-        (9_000.0, EventKind.DONE, {"job": "j", "server": "gw"}),
+        (100.0, EventKind.REQUESTED, {"request_id": "j", "cls": "price-lookup", "balancer": "n1"}),
+        (105.0, EventKind.UP, {"request_id": "j", "cls": "price-lookup", "server": "gw", "ms": 5.0}),
+        (1_000.0, EventKind.FAULT, {"balancer": "n1", "detail": "freeze"}),
+        (1_001.0, EventKind.FAULT, {"balancer": "n2", "detail": "freeze"}),
+        (5_000.0, EventKind.FAULT, {"balancer": "n1", "detail": "wake"}),
+        (5_001.0, EventKind.FAULT, {"balancer": "n2", "detail": "wake"}),
+        (9_000.0, EventKind.DONE, {"request_id": "j", "server": "gw"}),
     )
     trace.serving_ended_at = 9_000.0
     assert [str(span) for span in spans(trace)] == ["freeze: n1, n2"]
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -25,15 +25,17 @@
 from tests.harness import trace_of
 
 
-def claim(
+def attempt(
     at: float, job: str, server: str, end: float | None = None, by: str = ""
 ) -> list[tuple[float, EventKind, dict[str, Any]]]:
-    who = {"job": job, "server": server, "detail": f"{job}-{server}", "by": by}
+    who = {"request_id": job, "server": server, "detail": f"{job}-{server}", "balancer": by}
     made = [(at, EventKind.ATTEMPT, who)]
     return made if end is None else [*made, (end, EventKind.ATTEMPT_END, who)]
 
 
-REQUESTED, UP, BUSY = ((what, {"job": "j"}) for what in (EventKind.REQUESTED, EventKind.UP, EventKind.BUSY))
+REQUESTED, UP, BUSY = (
+    (what, {"request_id": "j"}) for what in (EventKind.REQUESTED, EventKind.UP, EventKind.BUSY)
+)
 
 
 @pytest.mark.parametrize(
@@ -42,40 +44,40 @@
         (checks.one_final_answer, [(0, *REQUESTED), (1, *UP)], 0),
         (checks.one_final_answer, [(0, *REQUESTED), (1, *UP), (2, *BUSY)], 1),
         (checks.one_final_answer, [(0, *REQUESTED)], 1),
-        (checks.every_request_answered, [(0, EventKind.LOST, {"job": "j"})], 1),
-        (checks.no_overlapping_attempts, [*claim(0, "j", "a", 10), *claim(10, "j", "b", 500)], 0),
+        (checks.every_request_answered, [(0, EventKind.LOST, {"request_id": "j"})], 1),
+        (checks.no_overlapping_attempts, [*attempt(0, "j", "a", 10), *attempt(10, "j", "b", 500)], 0),
         (
             checks.no_overlapping_attempts,
-            sorted([*claim(0, "j", "a", 300), *claim(100, "j", "b", 500)], key=lambda e: e[0]),
+            sorted([*attempt(0, "j", "a", 300), *attempt(100, "j", "b", 500)], key=lambda e: e[0]),
             1,
         ),
         (
             checks.no_overlapping_attempts,
             [
-                (0, EventKind.FAULT, {"by": "n1>a", "detail": "hold"}),
-                *claim(10, "j", "a", by="n1"),
-                *claim(100, "j", "b", 500, by="n1"),
-                (600, EventKind.FAULT, {"by": "n1>a", "detail": "sound"}),
+                (0, EventKind.FAULT, {"balancer": "n1>a", "detail": "hold"}),
+                *attempt(10, "j", "a", by="n1"),
+                *attempt(100, "j", "b", 500, by="n1"),
+                (600, EventKind.FAULT, {"balancer": "n1>a", "detail": "sound"}),
             ],
             0,
         ),
         (
             checks.no_overlapping_attempts,
             [
-                (0, EventKind.FAULT, {"by": "n1>c", "detail": "hold"}),
-                *claim(10, "j", "a", by="n1"),
-                *claim(100, "j", "b", 500, by="n1"),
+                (0, EventKind.FAULT, {"balancer": "n1>c", "detail": "hold"}),
+                *attempt(10, "j", "a", by="n1"),
+                *attempt(100, "j", "b", 500, by="n1"),
             ],
             1,
         ),
         (
             checks.draining_servers_spared,
-            [(0, EventKind.LISTED, {"server": "a", "detail": "leaving"}), *claim(2_900, "j", "a")],
+            [(0, EventKind.LISTED, {"server": "a", "detail": "leaving"}), *attempt(2_900, "j", "a")],
             0,
         ),
         (
             checks.draining_servers_spared,
-            [(0, EventKind.LISTED, {"server": "a", "detail": "leaving"}), *claim(3_100, "j", "a")],
+            [(0, EventKind.LISTED, {"server": "a", "detail": "leaving"}), *attempt(3_100, "j", "a")],
             1,
         ),
         (
@@ -83,32 +85,32 @@
             [
                 (0, EventKind.LISTED, {"server": "a", "detail": "left"}),
                 (1, EventKind.LISTED, {"server": "a", "detail": "active"}),
-                *claim(3_100, "j", "a"),
+                *attempt(3_100, "j", "a"),
             ],
             0,
         ),
-        (checks.moves_announced, [(0, EventKind.CUT_OFF, {"job": "j", "server": "a"})], 1),
+        (checks.moves_announced, [(0, EventKind.CUT_OFF, {"request_id": "j", "server": "a"})], 1),
         (
             checks.moves_announced,
             [
-                (0, EventKind.BROKEN, {"job": "j", "server": "a"}),
-                (1, EventKind.CUT_OFF, {"job": "j", "server": "a"}),
+                (0, EventKind.BROKEN, {"request_id": "j", "server": "a"}),
+                (1, EventKind.CUT_OFF, {"request_id": "j", "server": "a"}),
             ],
             0,
         ),
         (
             checks.moves_announced,
             [
-                (0, EventKind.CUT_OFF, {"job": "j", "server": "a"}),
-                (1, EventKind.BROKEN, {"job": "j", "server": "a"}),
+                (0, EventKind.CUT_OFF, {"request_id": "j", "server": "a"}),
+                (1, EventKind.BROKEN, {"request_id": "j", "server": "a"}),
             ],
             1,
         ),
         (
             checks.moves_announced,
             [
-                (0, EventKind.BROKEN, {"job": "k", "server": "a"}),
-                (1, EventKind.CUT_OFF, {"job": "j", "server": "a"}),
+                (0, EventKind.BROKEN, {"request_id": "k", "server": "a"}),
+                (1, EventKind.CUT_OFF, {"request_id": "j", "server": "a"}),
             ],
             1,
         ),
@@ -116,7 +118,7 @@
             checks.moves_announced,
             [
                 (0, EventKind.STATE, {"server": "a", "detail": "dropping"}),
-                (1, EventKind.CUT_OFF, {"job": "j", "server": "a"}),
+                (1, EventKind.CUT_OFF, {"request_id": "j", "server": "a"}),
             ],
             1,
         ),
@@ -132,7 +134,7 @@
 def test_the_cold_budget_is_checked_in_every_window(gap: float, kept: bool) -> None:
     entries = [(0.0, EventKind.STATE, {"server": "a", "detail": "cold"})]
     for n in range(20):
-        entries += claim(100.0 + n * gap, f"j{n}", "a")
+        entries += attempt(100.0 + n * gap, f"j{n}", "a")
     wrong = checks.cold_servers_not_flooded(trace_of(*entries), {"a": 10.0}, 0.1, 20_000.0)
     assert (not wrong) == kept
 
@@ -169,19 +171,19 @@
 
 
 @pytest.mark.anyio
-async def test_what_is_written_to_a_caller_that_has_gone_tells_nobody() -> None:
+async def test_a_list_written_to_a_caller_that_has_gone_is_not_recorded() -> None:
     """A balancer that had ended 0.4 s before, and so its successor, was held to what its open watch got."""
     clock = Clock()
     trace = Trace(clock.now)
     async with anyio.create_task_group() as tasks:
         discovery = Discovery(clock, trace, tasks)
         discovery.registry.put("a")
-        discovery.become("sound")
+        discovery.set_mode("sound")
         port = int(discovery.address.rpartition(":")[2])
         finished, broken, there = [await anyio.connect_tcp(HOST, port) for _ in range(3)]
         for watch in (finished, broken, there):
             await watch.send(b"GET /v1/servers?index=1&wait=20000 HTTP/1.1\r\n\r\n")
-        while discovery.calls < 3:
+        while discovery.call_count < 3:
             await anyio.sleep(0)
         await finished.aclose()
         await reset(broken)
@@ -193,7 +195,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def stand(server: LineServer, job: str) -> LineStream:
+async def open_connection(server: LineServer, job: str) -> LineStream:
     """A connection of its own that stands at a server, as a balancer makes it."""
     host, _, port = server.address.rpartition(":")
     lines = LineStream(await anyio.connect_tcp(host, int(port)))
@@ -216,17 +218,17 @@
     async with anyio.create_task_group() as tasks:
         server = LineServer("gw-5", ServerProfile(), clock, trace, random.Random(1), tasks)
         server.start()
-        standing = await stand(server, "crashed")
-        server.become("dropping")
-        cut = await stand(server, "cut")
+        standing = await open_connection(server, "crashed")
+        server.set_state("dropping")
+        cut = await open_connection(server, "cut")
         await cut.stream.aclose()
-        dropped = await stand(server, "dropped")
-        server.become("sound")
+        dropped = await open_connection(server, "dropped")
+        server.set_state("sound")
         assert await dropped.next() == LineStream.RST
         await server.crash()
         assert await standing.next() == LineStream.RST
         for job in ("cut", "dropped", "crashed"):
-            trace.add(EventKind.CUT_OFF, job=job, server="gw-5")
+            trace.add(EventKind.CUT_OFF, request_id=job, server="gw-5")
         tasks.cancel_scope.cancel()
     assert checks.moves_announced(trace) == ["cut: cut without MOVE, gw-5 had not broken it"]
 
@@ -251,9 +253,9 @@
             return said
 
         monkeypatch.setattr(LineStream, "send_line", crashing)
-        lines = await stand(server, "j")
+        lines = await open_connection(server, "j")
         assert await lines.next() == LineStream.RST
-        trace.add(EventKind.CUT_OFF, job="j", server="gw-5")
+        trace.add(EventKind.CUT_OFF, request_id="j", server="gw-5")
         tasks.cancel_scope.cancel()
     assert checks.moves_announced(trace) == []
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -46,7 +46,7 @@
         for server in self.servers:
             server.start()
             self.discovery.registry.put(server.id, addr=server.address)
-        self.discovery.become("sound")
+        self.discovery.set_mode("sound")
         self.tell(self.discovery.address)
 
     def tell(self, discovery: str, **more: Any) -> None:
@@ -82,13 +82,13 @@
                     break
                 await anyio.sleep(0.01)
             first.process.kill()
-        site.discovery.become("absent")
+        site.discovery.set_mode("absent")
         async with site.program() as second:
             await has_logged(second, b"event=restored source=store entries=2 .*at_once=any")
             port = await second.port(b"lines")
             for n in range(6):
                 assert (await site.client(port, f"0{n}")).startswith(b"UP r-s-0-")
-            site.discovery.become("sound")
+            site.discovery.set_mode("sound")
             await has_logged(second, b"event=discovery version=5")
             second.process.kill()
 
@@ -100,12 +100,12 @@
         async with site.program() as running:
             port = await running.port(b"lines")
             await has_logged(running, b"list=replace")
-            site.discovery.become(mode)
+            site.discovery.set_mode(mode)
             if mode != "hung":
                 await has_logged(running, b'event="discovery failed"')
             assert (await site.client(port, "0a")).startswith(b"UP")
             site.discovery.put("s-1", state="leaving")
-            site.discovery.become("sound")
+            site.discovery.set_mode("sound")
             await has_logged(running, b"server=s-1 state=draining")
             for n in range(4):
                 assert (await site.client(port, f"1{n}")).startswith(b"UP r-s-0-")
@@ -119,7 +119,7 @@
             await has_logged(first, b"list=replace")
             first.process.send_signal(signal.SIGINT)
             await first.process.wait()
-        site.discovery.become("older")
+        site.discovery.set_mode("older")
         async with site.program() as second:
             await has_logged(second, b"source=store", b'event="discovery suspect" why="version 1 after 2"')
             await has_logged(second, b"event=discovery version=1", b"list=replace")
@@ -134,7 +134,7 @@
             await has_logged(first, b"list=replace")
             first.process.send_signal(signal.SIGINT)
             await first.process.wait()
-        site.discovery.become("absent")
+        site.discovery.set_mode("absent")
         (tmp_path / "other").mkdir()
         other = Site(here.tasks, tmp_path / "other", 0)
         fresh = LineServer(
@@ -166,7 +166,7 @@
         site.tell(site.discovery.address, listen=f"127.0.0.1:{port}")
         env = {"TMPDIR": str(tmp_path / "tmp"), "EDGE_SOCKET_FD": str(fd), "EDGE_MGMT": "127.0.0.1:0"}
         async with program(site.config, fds=[fd], **env) as old:
-            site.servers[1].become("resetting")
+            site.servers[1].set_state("resetting")
             await has_logged(old, b"list=replace")
             job = 0
             while b"result=reset" not in old._log:
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -93,7 +93,7 @@
 ) -> None:
     async with site(tmp_path) as here:
         await here.wait_stored()
-        here.lists.become(mode)
+        here.lists.set_mode(mode)
         with anyio.fail_after(6.0):
             await here.restart(0.0)
             peer = Peer(await anyio.connect_tcp("127.0.0.1", here.port))
@@ -214,8 +214,8 @@
             }
             last.registry.changed = dict(here.lists.registry.changed)
             last.registry.put("s-1", state="leaving")
-            hung.become("hung")
-            last.become(mode)
+            hung.set_mode("hung")
+            last.set_mode(mode)
             texts = [json.dumps({**told, "discovery": place.address}) for place in (hung, last, hung, last)]
             for text in (texts[0], texts[1], texts[2], texts[3][:99], texts[3]):
                 fresh = config.with_suffix(".new")
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -70,7 +70,7 @@
         await here.running.wait_for_log(b"event=discovery version")
         assert await here.connect_many(60) == {"UP": 60}, "the others are warm"
         assert here.openings["s-2"] <= BUDGET, "it is cold still"
-        here.lists.become("absent")
+        here.lists.set_mode("absent")
         await here.restart(0.0)
         found = re.search(rb"event=restored source=store .*age_s=([\d.]+)", here.running.log_read)
         assert found is not None and float(found[1]) < 10.0
