--- a/puffinford/standins/__init__.py
+++ b/puffinford/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what is outside: discovery, servers and clients, on loopback, seeded and scripted."""
+"""Seeded, scripted stand-ins on loopback for what surrounds a balancer: discovery, servers and clients."""
--- a/puffinford/standins/balancer.py
+++ b/puffinford/standins/balancer.py
@@ -1,4 +1,4 @@
-"""The balancer as a process of its own, as an installation starts it."""
+"""Run the balancer as a process, with the configuration and settings of an installation."""
 
 from __future__ import annotations
 
@@ -21,29 +21,32 @@
 
 
 def platform_settings(
-    kinds: Sequence[ClientClass], balancers: int = 1, me: int = 0, **more: Any
+    classes: Sequence[ClientClass], balancers: int = 1, me: int = 0, **more: Any
 ) -> dict[str, Any]:
-    """The settings of an installation with these classes, as its configuration holds them."""
-    told: dict[str, Any] = {
+    """The settings of an installation with these request classes, as its configuration holds them.
+
+    `me` is the number of this balancer among `balancers`; `more` replaces single settings.
+    """
+    settings: dict[str, Any] = {
         "classes": [
             {
-                "name": kind.name,
-                "aim": kind.aim,
-                "give_up": kind.give_up,
-                "repeat": kind.effect,
+                "name": client_class.name,
+                "aim": client_class.aim,
+                "give_up": client_class.give_up,
+                "repeat": client_class.effect,
                 "group": "all",
-                "gain": kind.worth,
+                "gain": client_class.worth,
                 "stream": True,
-                "window": kind.window,
+                "window": client_class.window,
             }
-            for kind in kinds
+            for client_class in classes
         ],
         "balancers": balancers,
         "me": me,
         "discovery": "subscribe",
         "domain": {
             "groups": True,
-            "message_aim": [100.0] * len(kinds),
+            "message_aim": [100.0] * len(classes),
             "tells_delay": True,
             "mode": "proxy",
         },
@@ -65,33 +68,33 @@
         },
         "tick": 2.0,
     }
-    return {**told, **more}
+    return {**settings, **more}
 
 
-DEFAULT_SOCKETS = 4_096  # descriptors that a process may hold, where nothing else is told
-PORTS = (10_000, 32_000)  # under those that the kernel gives to connections going out
-_GIVEN: set[int] = set()  # guards hundreds of processes against two with one port: none listens yet
+DEFAULT_SOCKETS = 4_096  # descriptor limit of a process that sets no other
+LISTENING_PORTS = (10_000, 32_000)  # below the kernel's range of ephemeral ports
+_ASSIGNED_PORTS: set[int] = set()  # prevents giving a port to two processes before either listens
 
 
 def free_port() -> int:
-    """A port that was free a moment ago, and that no connection going out is given.
+    """A port that is free now and outside the ephemeral range.
 
-    Guards a start against a port that one of thousands of lines took in the meantime.
+    Prevents an outgoing connection from taking the port before the process listens on it.
     """
     while True:
-        port = random.SystemRandom().randrange(*PORTS)
-        if port in _GIVEN:
+        port = random.SystemRandom().randrange(*LISTENING_PORTS)
+        if port in _ASSIGNED_PORTS:
             continue
         with socket.socket() as sock, contextlib.suppress(OSError):
             sock.bind((HOST, port))
-            _GIVEN.add(port)
+            _ASSIGNED_PORTS.add(port)
             return port
 
 
 def reserve_port() -> socket.socket:
-    """A port as `free_port` gives it, held until the socket is closed; a listener may still bind there.
+    """Bind a free port until the returned socket is closed; a listener may still bind there.
 
-    Guards a start against another play on this machine that draws the same port before anybody listens.
+    Prevents another run on this host from drawing the same port before the process listens on it.
     """
     while True:
         held = socket.socket()
@@ -105,7 +108,7 @@
 
 
 class BalancerProcess:
-    """One balancer under a name and an address that it keeps over restarts. Its log is in `directory`."""
+    """A balancer process whose name and address stay the same over restarts. Its log is in `directory`."""
 
     def __init__(
         self,
@@ -121,8 +124,8 @@
         channels: bool = False,
         sockets: int = DEFAULT_SOCKETS,
     ) -> None:
-        """`operators` is the text of its operators' file, `root` another source tree to run; `env` is added
-        to its environment. `channels` turns the channel front on; it may hold `sockets` descriptors.
+        """`operators` is the text of its settings file, `root` another source tree to run; `env` is added to
+        its environment. `channels` turns the channel front on; `sockets` is its limit of descriptors.
         """
         self._env = dict(env or {})
         self.name = name
@@ -134,18 +137,18 @@
             operators += f"\nsection channels\n enabled on\n listen {HOST}:{self.channel_port}\n"
         self.directory = directory
         self.log_path = directory / f"{name}.log"
-        self._private = directory / f"{name}.tmp"
-        # Guards a play against the lists that the same names kept in another: their versions look the same.
-        shutil.rmtree(self._private, ignore_errors=True)
-        self._private.mkdir()
+        self._temp_directory = directory / f"{name}.tmp"
+        # Prevents reuse of a list stored by an earlier run under the same name, whose version looks the same.
+        shutil.rmtree(self._temp_directory, ignore_errors=True)
+        self._temp_directory.mkdir()
         self._root = root
         self._process: subprocess.Popen[bytes] | None = None
-        self.ready = False  # it was seen to take connections since its last start
-        self._config = directory / f"{name}.json"
-        self._operators = directory / f"{name}.conf" if operators else None
-        if self._operators is not None:
-            self._operators.write_text(operators)
-        told: dict[str, Any] = {
+        self.ready = False  # it has accepted a connection since its last start
+        self._config_path = directory / f"{name}.json"
+        self._settings_path = directory / f"{name}.conf" if operators else None
+        if self._settings_path is not None:
+            self._settings_path.write_text(operators)
+        config: dict[str, Any] = {
             "name": name,
             "listen": f"{HOST}:{self.port}",
             "mgmt": f"{HOST}:{self.management_port}",
@@ -155,64 +158,64 @@
             "settings": settings,
         }
         if known is not None:
-            told["known"] = known
-        self._told = told
+            config["known"] = known
+        self._base_config = config
         self.write_settings(settings)
 
     def write_settings(self, settings: Mapping[str, Any]) -> None:
-        """Write its configuration with these settings; it reads them at its start and at SIGHUP."""
-        self._config.write_text(json.dumps({**self._told, "settings": settings}))
+        """Write its configuration with these settings, which it reads at its start and at SIGHUP."""
+        self._config_path.write_text(json.dumps({**self._base_config, "settings": settings}))
 
     @property
     def settings(self) -> Mapping[str, Any]:
-        """The settings that it was made with."""
-        settings: Mapping[str, Any] = self._told["settings"]
+        """The settings that the instance was created with."""
+        settings: Mapping[str, Any] = self._base_config["settings"]
         return settings
 
     @property
     def running(self) -> bool:
-        """Whether the process is there."""
+        """Whether the process runs."""
         return self._process is not None and self._process.poll() is None
 
     @property
     def pid(self) -> int:
-        """Of the process; it must have been started."""
+        """Process id; the process must have been started."""
         assert self._process is not None
         return self._process.pid
 
     def start(self) -> None:
-        """Start it, or start it again after its end."""
+        """Start the process, or start it again after its end."""
         self.ready = False
         env = {
             "PATH": os.environ.get("PATH", ""),
-            "EDGE_CONFIG": str(self._config),
-            "TMPDIR": str(self._private),
+            "EDGE_CONFIG": str(self._config_path),
+            "TMPDIR": str(self._temp_directory),
             **self._env,
         }
-        words = [sys.executable, "-m", "puffinford"]
-        if self._operators is not None:
-            words += ["serve", "--settings", str(self._operators)]
+        command = [sys.executable, "-m", "puffinford"]
+        if self._settings_path is not None:
+            command += ["serve", "--settings", str(self._settings_path)]
         with open(self.log_path, "ab") as log:
-            self._process = subprocess.Popen(words, env=env, stderr=log, stdout=log, cwd=self._root)
+            self._process = subprocess.Popen(command, env=env, stderr=log, stdout=log, cwd=self._root)
 
     def is_listening(self) -> bool:
-        """Whether it takes connections now."""
+        """Whether it accepts connections now."""
         with socket.socket() as sock:
             sock.settimeout(0.2)
             return sock.connect_ex((HOST, self.port)) == 0
 
     def signal(self, signum: int) -> None:
-        """Send the process a signal, where it runs."""
+        """Send the process a signal, if it runs."""
         if self._process is not None and self.running:
             self._process.send_signal(signum)
 
     def stop(self) -> None:
-        """End it, at once if need be, and give its ports back."""
+        """Release its ports and end it with SIGINT, or with SIGKILL if it runs 2 s later."""
         for held in self._reserved:
             held.close()
         if self._process is None:
             return
-        self.signal(signal.SIGCONT)  # one that is frozen hears nothing else
+        self.signal(signal.SIGCONT)  # a stopped process handles no other signal
         self.signal(signal.SIGINT)
         try:
             self._process.wait(2.0)
@@ -221,26 +224,26 @@
             self._process.wait()
 
     def cpu_seconds(self) -> float:
-        """Seconds of CPU that the process has taken, by the kernel's count."""
+        """CPU time of the process in seconds, as the kernel accounts it."""
         fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def resident_bytes(self) -> int:
-        """Bytes of memory that the process holds."""
+        """Resident memory of the process in bytes."""
         return int(Path(f"/proc/{self.pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
     def peak_resident_bytes(self) -> int:
-        """The most bytes of memory that the process has held."""
+        """Peak resident memory of the process in bytes."""
         status = Path(f"/proc/{self.pid}/status").read_text()
         (line,) = (line for line in status.splitlines() if line.startswith("VmHWM:"))
         return int(line.split()[1]) * 1_024
 
     def wait_until_listening(self, timeout_s: float = 10.0) -> float:
-        """Seconds until it took connections; raises TimeoutError."""
-        began = time.monotonic()
+        """Wait until it accepts connections and return the seconds waited; raises TimeoutError."""
+        started_at = time.monotonic()
         while not self.is_listening():
-            if time.monotonic() - began > timeout_s or not self.running:
+            if time.monotonic() - started_at > timeout_s or not self.running:
                 raise TimeoutError(f"{self.name} does not listen; see {self.log_path}")
             time.sleep(0.005)
         self.ready = True
-        return time.monotonic() - began
+        return time.monotonic() - started_at
--- a/puffinford/standins/checks.py
+++ b/puffinford/standins/checks.py
@@ -1,4 +1,4 @@
-"""Checkers of the rules: each reads a trace and names every breach. An empty list is a kept rule."""
+"""Checks of the balancer's rules: each reads a trace and returns one line for each breach."""
 
 from __future__ import annotations
 
@@ -8,146 +8,152 @@
 
 from puffinford.standins.trace import ANSWERS, EventKind, Trace, TraceEvent
 
-AFTER = 1_000.0  # ms that what was held on a link takes to be through
-ORDER_TOLERANCE_MS = (
-    50.0  # ms: the end of one connection and the opening of another may be seen in either order
-)
+LINK_RECOVERY_MS = 1_000.0  # until data held on a link during a fault has been delivered
+ORDER_TOLERANCE_MS = 50.0  # the end of one connection and the start of another may be seen in either order
 
 
 def _faults(trace: Trace) -> dict[str, list[tuple[float, float]]]:
-    """From when until when each link, by its name, was not sound."""
-    found: dict[str, list[tuple[float, float]]] = defaultdict(list)
-    began: dict[str, float] = {}
-    for entry in trace.of(EventKind.FAULT):
-        if entry.balancer in began:
-            found[entry.balancer].append((began.pop(entry.balancer), entry.at))
-        if entry.detail != "sound":
-            began[entry.balancer] = entry.at
-    for name, since in began.items():
-        found[name].append((since, float("inf")))
-    return found
+    """The spans, in ms, in which each link had a fault, by the link's name."""
+    spans: dict[str, list[tuple[float, float]]] = defaultdict(list)
+    started: dict[str, float] = {}
+    for event in trace.of(EventKind.FAULT):
+        if event.balancer in started:
+            spans[event.balancer].append((started.pop(event.balancer), event.at))
+        if event.detail != "sound":
+            started[event.balancer] = event.at
+    for name, started_at in started.items():
+        spans[name].append((started_at, float("inf")))
+    return spans
 
 
 def one_final_answer(trace: Trace, until: float = float("inf")) -> list[str]:
-    """Each opening has one answer, and one alone; openings of the last moments, after `until` ms, may have
-    none.
-    """
+    """Check that each opening has exactly one answer. Openings after `until` ms may have none yet."""
     answers: dict[str, list[str]] = defaultdict(list)
-    asked = {}
-    for entry in trace.of(EventKind.REQUESTED, *ANSWERS):
-        if entry.kind is EventKind.REQUESTED:
-            asked[entry.request_id] = entry.at
+    requested = {}
+    for event in trace.of(EventKind.REQUESTED, *ANSWERS):
+        if event.kind is EventKind.REQUESTED:
+            requested[event.request_id] = event.at
         else:
-            answers[entry.request_id].append(entry.kind.value)
-    wrong = [f"{job}: {' and '.join(many)}" for job, many in answers.items() if len(many) > 1]
-    return wrong + [f"{job}: no answer" for job, at in asked.items() if job not in answers and at < until]
+            answers[event.request_id].append(event.kind.value)
+    breaches = [f"{ident}: {' and '.join(kinds)}" for ident, kinds in answers.items() if len(kinds) > 1]
+    return breaches + [
+        f"{ident}: no answer" for ident, at in requested.items() if ident not in answers and at < until
+    ]
 
 
 def every_request_answered(trace: Trace) -> list[str]:
-    """No opening ended without an answer."""
-    return [f"{entry.request_id}: {entry.detail or 'lost'}" for entry in trace.of(EventKind.LOST)]
+    """Check that no opening ended without an answer."""
+    return [f"{event.request_id}: {event.detail or 'lost'}" for event in trace.of(EventKind.LOST)]
 
 
 def no_overlapping_attempts(trace: Trace, slack: float = ORDER_TOLERANCE_MS) -> list[str]:
-    """No two claims of one job are out for longer than `slack` ms together.
+    """Check that no two attempts of one request overlap for more than `slack` ms.
 
-    A claim is out for as long as its server sees it. Passed over are those whose link failed meanwhile: that
-    it was given up cannot be seen behind a link that passes nothing on.
+    An attempt lasts as long as its server sees it. Attempts whose link had a fault meanwhile are skipped: a
+    cancellation cannot pass such a link.
     """
     faults = _faults(trace)
 
-    def hidden(claim: TraceEvent, until: float) -> bool:
-        """Whether the link of a claim failed between its beginning and then."""
-        spans = faults[f"{claim.balancer}>{claim.server}"]
-        return any(claim.at < end + AFTER and since < until for since, end in spans)
-
-    out: dict[str, dict[str, TraceEvent]] = defaultdict(dict)
-    wrong = []
-    for entry in trace.of(EventKind.ATTEMPT, EventKind.ATTEMPT_END):
-        claims = out[entry.request_id]
-        if entry.kind is EventKind.ATTEMPT:
-            claims[entry.detail] = entry
+    def is_hidden(attempt: TraceEvent, until: float) -> bool:
+        """Whether the link of an attempt had a fault between its start and `until`."""
+        spans = faults[f"{attempt.balancer}>{attempt.server}"]
+        return any(
+            attempt.at < ended_at + LINK_RECOVERY_MS and started_at < until for started_at, ended_at in spans
+        )
+
+    open_attempts: dict[str, dict[str, TraceEvent]] = defaultdict(dict)
+    breaches = []
+    for event in trace.of(EventKind.ATTEMPT, EventKind.ATTEMPT_END):
+        attempts = open_attempts[event.request_id]
+        if event.kind is EventKind.ATTEMPT:
+            attempts[event.detail] = event
             continue
-        ended = claims.pop(entry.detail, entry)
-        if hidden(ended, entry.at):
+        ended = attempts.pop(event.detail, event)
+        if is_hidden(ended, event.at):
             continue
-        wrong += [
-            f"{entry.request_id}: two claims for {together:.0f} ms, one at {entry.server}"
-            for other in claims.values()
-            if (together := entry.at - max(ended.at, other.at)) > slack and not hidden(other, entry.at)
+        breaches += [
+            f"{event.request_id}: two attempts for {overlap_ms:.0f} ms, one at {event.server}"
+            for other in attempts.values()
+            if (overlap_ms := event.at - max(ended.at, other.at)) > slack and not is_hidden(other, event.at)
         ]
-    return wrong
+    return breaches
 
 
-MISSED = 7_000.0  # ms after a watch fell silent at which what it misses counts as told
+# From the start of a link's fault until its balancer has noticed that the watch is broken: a call waits 5 s,
+# and a watch without an answer counts as broken 2 s later.
+BROKEN_WATCH_DETECTION_MS = 7_000.0
 
 
 def draining_servers_spared(trace: Trace, grace: float = 3_000.0) -> list[str]:
-    """Nothing new comes to a server later than `grace` ms after discovery told that it drains or is gone.
+    """Check that no attempt reaches a server more than `grace` ms after it was listed as draining or gone.
 
-    Where the trace names balancers, each is held to what it was told itself; what was written while its link
-    to discovery failed counts as told when that was sound again, MISSED after the fault began at the latest:
-    a call waits for 5 s, and 2 s later a watch without an answer counts as broken.
+    Where the trace names balancers, each is judged by the lists written to it. A list written while the
+    balancer's link to discovery had a fault counts from the end of the fault, and from
+    BROKEN_WATCH_DETECTION_MS after its start at the latest.
     """
     faults = _faults(trace)
 
-    def heard(by: str, at: float) -> float:
-        late = [min(end, began + MISSED) for began, end in faults[f"{by}>discovery"] if began <= at < end]
-        return max([at, *late])
-
-    told: dict[tuple[str, str], float] = {}
-    wrong = []
-    for entry in trace.of(EventKind.LISTED, EventKind.ATTEMPT):
-        if entry.kind is EventKind.LISTED:
-            if entry.detail == "active":
-                told.pop((entry.server, entry.balancer), None)
+    def received_at(balancer: str, at: float) -> float:
+        delayed = [
+            min(ended_at, started_at + BROKEN_WATCH_DETECTION_MS)
+            for started_at, ended_at in faults[f"{balancer}>discovery"]
+            if started_at <= at < ended_at
+        ]
+        return max([at, *delayed])
+
+    listed_at: dict[tuple[str, str], float] = {}
+    breaches = []
+    for event in trace.of(EventKind.LISTED, EventKind.ATTEMPT):
+        if event.kind is EventKind.LISTED:
+            if event.detail == "active":
+                listed_at.pop((event.server, event.balancer), None)
             else:
-                told.setdefault((entry.server, entry.balancer), heard(entry.balancer, entry.at))
-        elif (late := entry.at - told.get((entry.server, entry.balancer), entry.at)) > grace:
-            wrong.append(f"{entry.request_id}: to {entry.server} {late:.0f} ms after it was told")
-    return wrong
+                listed_at.setdefault((event.server, event.balancer), received_at(event.balancer, event.at))
+        elif (late_ms := event.at - listed_at.get((event.server, event.balancer), event.at)) > grace:
+            breaches.append(f"{event.request_id}: to {event.server} {late_ms:.0f} ms after it was listed")
+    return breaches
 
 
 @dataclass(frozen=True, slots=True)
 class _ColdWindow:
-    """The openings that a cold server got in the last window, as one came."""
+    """The openings that a cold server received in the window that ends with the latest of them."""
 
     server: str
     openings: int
-    told: int  # of these, from balancers that had been told of the start
-    share: float  # of its capacity that it has then
+    informed: int  # openings from balancers that had the server's start listed to them
+    share: float  # fraction of its capacity that the server has at the end of the window
 
 
 def _cold_windows(trace: Trace, cold_from: float, warm_ms: float, window: float) -> Iterator[_ColdWindow]:
     """Each opening at a cold server with those of the `window` ms before; a start is a STATE `cold`."""
-    cold: dict[str, float] = {}
-    starts: dict[str, float] = {}  # of each server, the start that was told last, by anyone
-    before: dict[str, float] = {}  # and that of before its cold start
-    told: dict[str, set[str]] = defaultdict(set)  # who knows of that
-    claims: dict[str, list[tuple[float, bool]]] = defaultdict(list)
-    for entry in trace.of(EventKind.STATE, EventKind.LISTED, EventKind.ATTEMPT):
-        server = entry.server
-        if entry.kind is EventKind.STATE:
-            if entry.detail == "cold":
-                cold[server] = entry.at
-                before[server] = starts.get(server, 0.0)
-                claims[server].clear()
-                told[server].clear()
+    cold_since: dict[str, float] = {}
+    listed_starts: dict[str, float] = {}  # the start of each server that was listed last, to any balancer
+    starts_before: dict[str, float] = {}  # the same, from before its cold start
+    informed: dict[str, set[str]] = defaultdict(set)  # balancers to which the cold start was listed
+    openings: dict[str, list[tuple[float, bool]]] = defaultdict(list)
+    for event in trace.of(EventKind.STATE, EventKind.LISTED, EventKind.ATTEMPT):
+        server = event.server
+        if event.kind is EventKind.STATE:
+            if event.detail == "cold":
+                cold_since[server] = event.at
+                starts_before[server] = listed_starts.get(server, 0.0)
+                openings[server].clear()
+                informed[server].clear()
             continue
-        if entry.kind is EventKind.LISTED:
-            starts[server] = entry.ms
-            if server in cold and entry.ms != before[server]:
-                told[server].add(entry.balancer)
+        if event.kind is EventKind.LISTED:
+            listed_starts[server] = event.ms
+            if server in cold_since and event.ms != starts_before[server]:
+                informed[server].add(event.balancer)
             continue
-        since = cold.get(server)
-        if since is None or entry.at > since + warm_ms:
+        started_at = cold_since.get(server)
+        if started_at is None or event.at > started_at + warm_ms:
             continue
-        times = claims[server]
-        times.append((entry.at, entry.balancer in told[server]))
-        while times[0][0] < entry.at - window:
-            times.pop(0)
-        share = cold_from + (1.0 - cold_from) * (entry.at - since) / warm_ms
-        yield _ColdWindow(server, len(times), sum(knew for _, knew in times), share)
+        recent = openings[server]
+        recent.append((event.at, event.balancer in informed[server]))
+        while recent[0][0] < event.at - window:
+            recent.pop(0)
+        share = cold_from + (1.0 - cold_from) * (event.at - started_at) / warm_ms
+        yield _ColdWindow(server, len(recent), sum(is_informed for _, is_informed in recent), share)
 
 
 def cold_servers_not_flooded(
@@ -158,85 +164,89 @@
     multiple: float = 3.0,
     window: float = 1_000.0,
 ) -> list[str]:
-    """No window of `window` ms brings a cold server more openings than `multiple` times what it can take
-    then.
+    """Check that a cold server gets at most `multiple` times its current capacity in each `window` ms.
 
-    `capacity` is in openings a second of the warm server; a start is a STATE entry with detail `cold`. One
-    opening more than the budget is chance.
+    `capacity` is in openings per second of the warm server. A start is a STATE event with detail `cold`. One
+    opening over the budget is allowed for chance.
     """
-    wrong = []
-    for seen in _cold_windows(trace, cold_from, warm_ms, window):
-        budget = multiple * seen.share * capacity.get(seen.server, float("inf")) * window / 1_000.0
-        if seen.openings > budget + 1.0:
-            wrong.append(f"{seen.server}: {seen.openings} openings in {window:.0f} ms, budget {budget:.1f}")
-    return wrong
+    breaches = []
+    for cold in _cold_windows(trace, cold_from, warm_ms, window):
+        budget = multiple * cold.share * capacity.get(cold.server, float("inf")) * window / 1_000.0
+        if cold.openings > budget + 1.0:
+            breaches.append(
+                f"{cold.server}: {cold.openings} openings in {window:.0f} ms, budget {budget:.1f}"
+            )
+    return breaches
 
 
 def slow_start_kept(
     trace: Trace,
-    carries: Mapping[str, float],
+    warm_capacity: Mapping[str, float],
     cold_from: float = 0.13,
     warm_ms: float = 23_000.0,
     multiple: float = 3.0,
     window: float = 1_000.0,
 ) -> list[str]:
-    """No cold server gets more than N + 3 x root of N + 3 openings in a window (2, from N = 30 on).
+    """Check that no cold server gets more than N + 3 sqrt(N) + 3 openings in a window (2 from N = 30 on).
 
-    It is a breach where over two thirds of them came from balancers that had been told of the start. N is
-    what the settings allow it then: `multiple` times what fills it, of `carries` connections, over its
-    warm-up. A start is a STATE entry with detail `cold`.
+    It is a breach only if more than INFORMED_FRACTION of them came from balancers that had the start listed
+    to them. N is what the settings allow then: `multiple` times the rate that fills the current share of
+    `warm_capacity` (connections) over the warm-up. A start is a STATE event with detail `cold`.
     """
-    wrong = []
-    for seen in _cold_windows(trace, cold_from, warm_ms, window):
-        allowed = multiple * seen.share * carries[seen.server] * window / warm_ms
+    breaches = []
+    for cold in _cold_windows(trace, cold_from, warm_ms, window):
+        allowed = multiple * cold.share * warm_capacity[cold.server] * window / warm_ms
         chance = 3.0 if allowed < 30.0 else 2.0
-        flooded = seen.openings > allowed + chance * allowed**0.5 + chance
-        if flooded and seen.told > TOLD_PART * seen.openings:
-            wrong.append(f"{seen.server}: {seen.openings} openings in {window:.0f} ms, {allowed:.1f} allowed")
-    return wrong
+        flooded = cold.openings > allowed + chance * allowed**0.5 + chance
+        if flooded and cold.informed > INFORMED_FRACTION * cold.openings:
+            breaches.append(
+                f"{cold.server}: {cold.openings} openings in {window:.0f} ms, {allowed:.1f} allowed"
+            )
+    return breaches
 
 
-TOLD_PART = 2 / 3  # of the openings at a server that falls, from balancers that knew that it was cold
-HELD_UP = 200.0  # ms that a balancer may be held up between reading its clock and writing, and 50 of slack
+INFORMED_FRACTION = 2 / 3  # of a cold server's openings, from balancers to which its start was listed
+WRITE_DELAY_MS = 200.0  # allowed to a balancer between reading its clock and writing an attempt
 
 
 def effects_not_repeated(trace: Trace, kinds: Mapping[str, tuple[str, float]]) -> list[str]:
-    """No effect is doubled, and none that there may have been is denied by a refusal.
+    """Check that no effect is doubled, and that no request is refused that may have had its effect.
 
-    `kinds` are the classes' effects, as settings name them, and windows in ms. What may have run is repeated
-    never where it runs at most once, and within the window of the first where servers discard repeats.
+    `kinds` maps each class to its effect, as settings name it, and its window in ms. A request that may have
+    run is never repeated with `at_most_once`, and otherwise only within the window from its first run, in
+    which servers discard repeats.
     """
-    classes: dict[str, str] = {}
-    first: dict[str, float] = {}
-    wrong = []
-    for entry in trace.of(EventKind.REQUESTED, EventKind.EXECUTED, EventKind.BUSY):
-        if entry.kind is EventKind.REQUESTED:
-            classes[entry.request_id] = entry.cls
+    class_of_request: dict[str, str] = {}
+    first_run_at: dict[str, float] = {}
+    breaches = []
+    for event in trace.of(EventKind.REQUESTED, EventKind.EXECUTED, EventKind.BUSY):
+        if event.kind is EventKind.REQUESTED:
+            class_of_request[event.request_id] = event.cls
             continue
-        effect, window = kinds[classes[entry.request_id]]
-        since = first.get(entry.request_id)
-        if entry.kind is EventKind.EXECUTED:
-            first.setdefault(entry.request_id, entry.at)
-        if since is None or effect == "idempotent":
+        effect, window = kinds[class_of_request[event.request_id]]
+        ran_at = first_run_at.get(event.request_id)
+        if event.kind is EventKind.EXECUTED:
+            first_run_at.setdefault(event.request_id, event.at)
+        if ran_at is None or effect == "idempotent":
             continue
-        if entry.kind is EventKind.BUSY and effect == "at_most_once":
-            wrong.append(f"{entry.request_id}: refused though it may have run")
-        elif entry.kind is EventKind.EXECUTED and (
-            effect == "at_most_once" or entry.at > since + window + HELD_UP
+        if event.kind is EventKind.BUSY and effect == "at_most_once":
+            breaches.append(f"{event.request_id}: refused though it may have run")
+        elif event.kind is EventKind.EXECUTED and (
+            effect == "at_most_once" or event.at > ran_at + window + WRITE_DELAY_MS
         ):
-            wrong.append(
-                f"{entry.request_id}: again {entry.at - since:.0f} ms after it may have run, {effect}"
+            breaches.append(
+                f"{event.request_id}: again {event.at - ran_at:.0f} ms after it may have run, {effect}"
             )
-    return wrong
+    return breaches
 
 
 def moves_announced(trace: Trace) -> list[str]:
-    """No standing connection was cut but by its server, which says so of each that it resets."""
+    """Check that no established connection was cut, other than by a server that recorded its reset."""
     broken: set[tuple[str, str]] = set()
-    wrong = []
-    for entry in trace.of(EventKind.BROKEN, EventKind.CUT_OFF):
-        if entry.kind is EventKind.BROKEN:
-            broken.add((entry.request_id, entry.server))
-        elif (entry.request_id, entry.server) not in broken:
-            wrong.append(f"{entry.request_id}: cut without MOVE, {entry.server} had not broken it")
-    return wrong
+    breaches = []
+    for event in trace.of(EventKind.BROKEN, EventKind.CUT_OFF):
+        if event.kind is EventKind.BROKEN:
+            broken.add((event.request_id, event.server))
+        elif (event.request_id, event.server) not in broken:
+            breaches.append(f"{event.request_id}: cut without MOVE, {event.server} had not broken it")
+    return breaches
--- a/puffinford/standins/fleet.py
+++ b/puffinford/standins/fleet.py
@@ -1,6 +1,6 @@
-"""Many decision modules side by side in settable time, under one story. No sockets, no clock, seeded.
+"""A seeded simulation of many decision modules side by side, without sockets, in simulated time.
 
-Each balancer is the real module; servers only stand or do not, so nothing here tells how late they would be.
+Each balancer is the real decision module. A server is either up or down: its message delays are not modelled.
 """
 
 from __future__ import annotations
@@ -34,12 +34,12 @@
     Timer,
 )
 
-SIMULATED_WARM_CAPACITY = 70.0  # connections that the settings tell for each server
+SIMULATED_WARM_CAPACITY = 70.0  # connections per server, as the settings configure it
 
 
 @dataclass(slots=True)
 class OpenConnection:
-    """A connection that stands."""
+    """An established connection."""
 
     balancer: int
     server: str
@@ -48,7 +48,7 @@
 
 
 class Fleet:
-    """Balancers that hear nothing of each other, and what they send to each server."""
+    """Balancers that do not communicate, and the connections that they place on servers."""
 
     def __init__(
         self,
@@ -61,21 +61,21 @@
         quotas: bool = True,
         warm_capacity: float = SIMULATED_WARM_CAPACITY,
     ) -> None:
-        """Servers have `sizes` in turn; `quotas` tell `warm_capacity` for each; without, nothing tells it."""
+        """Servers take `sizes` in turn. With `quotas`, settings give `warm_capacity` connections to each."""
         self.now = 1_000_000.0
         self.rng = random.Random(seed)
         self.servers = [Server(f"s-{seed}-{n}", weight=sizes[n % len(sizes)]) for n in range(servers)]
         self.placements: list[tuple[float, int, str]] = []  # time in ms, balancer, server
-        self.list_requests: list[float] = []  # when lists were asked for
+        self.list_requests: list[float] = []  # times in ms at which lists were requested
         self.connections: dict[str, OpenConnection] = {}
         self.refused = 0
         self.attempts = 0
         self.dead: set[str] = set()
-        self.dropping: dict[str, float] = {}  # servers that drop each connection so many ms after it stands
-        self._pending_drops: list[tuple[float, int, str, str]] = []  # when, balancer, request, server
-        self.cpu_seconds = 0.0  # seconds that the modules took ...
-        self.event_count = 0  # ... for so many events
-        self._count = 0
+        self.dropping: dict[str, float] = {}  # ms after which a server drops each connection, by server
+        self._pending_drops: list[tuple[float, int, str, str]] = []  # time in ms, balancer, request, server
+        self.cpu_seconds = 0.0  # taken by the decision modules
+        self.event_count = 0  # handled by the decision modules
+        self._id_count = 0
         self._timers: list[tuple[float, int, int]] = []
         self.settings = [
             Settings(
@@ -100,10 +100,10 @@
             self.handle(me, ServerList(ListKind.REPLACE, self.servers))
 
     def handle(self, me: int, event: object) -> list[Action]:
-        """Give one balancer one event, and look at what it asks for besides placing."""
-        began = time.process_time()
+        """Dispatch an event to a balancer, and carry out its timers, moves and subscriptions."""
+        started_at = time.process_time()
         actions = self.balancers[me].handle(self.now, [event])  # type: ignore[list-item]
-        self.cpu_seconds += time.process_time() - began
+        self.cpu_seconds += time.process_time() - started_at
         self.event_count += 1
         for action in actions:
             if isinstance(action, Subscribe):
@@ -115,43 +115,43 @@
         return actions
 
     def advance(self, until: float) -> None:
-        """Let time pass; what modules asked to be woken for, and what sick servers drop, comes in order."""
+        """Advance the time to `until`, and run due timers and connection drops in order."""
         while True:
-            timer = self._timers[0][0] if self._timers else float("inf")
-            drop = self._pending_drops[0][0] if self._pending_drops else float("inf")
-            if min(timer, drop) > until:
+            next_timer = self._timers[0][0] if self._timers else float("inf")
+            next_drop = self._pending_drops[0][0] if self._pending_drops else float("inf")
+            if min(next_timer, next_drop) > until:
                 break
-            if timer <= drop:
+            if next_timer <= next_drop:
                 at, me, token = heapq.heappop(self._timers)
                 self.now = max(self.now, at)
                 self.handle(me, Timer(token))
                 continue
             at, me, ident, server = heapq.heappop(self._pending_drops)
             self.now = max(self.now, at)
-            held = self.connections.get(ident)
-            if held is not None and held.server == server:
+            connection = self.connections.get(ident)
+            if connection is not None and connection.server == server:
                 del self.connections[ident]
-                self.handle(me, Outcome(ident, held.attempt, server, Result.RESET, 0.0, True))
+                self.handle(me, Outcome(ident, connection.attempt, server, Result.RESET, 0.0, True))
         self.now = until
 
     def announce(self, servers: list[Server], within: float = 0.0) -> None:
-        """All balancers hear of changes, each at a time of its own within so many ms."""
-        start = self.now
+        """Send changed entries to all balancers, each at a drawn time within `within` ms."""
+        started_at = self.now
         times = sorted((self.rng.random() * within, me) for me in range(len(self.balancers)))
-        for after, me in times:
-            self.advance(start + after)
+        for delay, me in times:
+            self.advance(started_at + delay)
             self.handle(me, ServerList(ListKind.UPDATE, servers))
 
     def restart(self, me: int, known: list[Server]) -> None:
-        """One balancer dies and starts anew from the list that it last had; its clients are cut off."""
+        """Crash a balancer and start it from the `known` list; its clients lose their connections."""
         for ident in [ident for ident, held in self.connections.items() if held.balancer == me]:
             del self.connections[ident]
-        self._count += 1
-        self.balancers[me] = Balancer(self.settings[me], self._count)
+        self._id_count += 1
+        self.balancers[me] = Balancer(self.settings[me], self._id_count)
         self.handle(me, ServerList(ListKind.RESTORED, known))
 
     def fail_servers(self, servers: set[str]) -> int:
-        """Servers die with what stands there; tells how many clients were cut off."""
+        """Crash servers with their connections; the number of clients that lost one."""
         self.dead |= servers
         cut = [ident for ident, held in self.connections.items() if held.server in servers]
         for ident in cut:
@@ -160,73 +160,74 @@
         return len(cut)
 
     def arrive(self, clients: int, over: float, groups: int) -> None:
-        """So many clients over so many ms, at any balancer; a claim at a dead server cannot connect."""
-        start = self.now
-        for after in sorted(self.rng.random() * over for _ in range(clients)):
-            self.advance(start + after)
+        """Let clients arrive over `over` ms, at drawn balancers and in drawn groups."""
+        started_at = self.now
+        for delay in sorted(self.rng.random() * over for _ in range(clients)):
+            self.advance(started_at + delay)
             self.place(self.rng.randrange(groups) * 0x9E3779B97F4A7C15)
-        self.advance(start + over)
+        self.advance(started_at + over)
 
     def leave(self, ident: str) -> None:
-        """A client that stands ends its connection itself; nothing where it stands no more."""
-        held = self.connections.pop(ident, None)
-        if held is not None:
-            self.handle(held.balancer, ClientLeft(ident))
+        """Let a client close its connection; without effect if it is no longer established."""
+        connection = self.connections.pop(ident, None)
+        if connection is not None:
+            self.handle(connection.balancer, ClientLeft(ident))
 
     def place(self, group: int | None, me: int | None = None) -> str | None:
-        """One client: claims until one stands, and its id; None where the balancer turns it away.
+        """Attempt servers for a new client until one accepts it; its id, or None if it is refused.
 
-        It comes to balancer `me`, any one where that is not told.
+        It arrives at balancer `me`, or at a drawn one. Attempts at a crashed server fail to connect.
         """
         me = self.rng.randrange(len(self.balancers)) if me is None else me
-        self._count += 1
-        ident = f"r{self._count}"
+        self._id_count += 1
+        ident = f"r{self._id_count}"
         actions = self.handle(me, Request(ident, "safe", 2_000.0, group=group))
         for number in range(5):
-            sent = next((action for action in actions if isinstance(action, Attempt)), None)
-            if sent is None:
+            attempt = next((action for action in actions if isinstance(action, Attempt)), None)
+            if attempt is None:
                 self.refused += any(isinstance(action, Refuse) for action in actions)
                 return None
             self.attempts += 1
-            if sent.server not in self.dead:
-                self.placements.append((self.now, me, sent.server))
-                self.connections[ident] = OpenConnection(me, sent.server, group, number)
-                self.handle(me, Established(ident, number, sent.server, 5.0))
-                if sent.server in self.dropping:
+            if attempt.server not in self.dead:
+                self.placements.append((self.now, me, attempt.server))
+                self.connections[ident] = OpenConnection(me, attempt.server, group, number)
+                self.handle(me, Established(ident, number, attempt.server, 5.0))
+                if attempt.server in self.dropping:
                     heapq.heappush(
-                        self._pending_drops, (self.now + self.dropping[sent.server], me, ident, sent.server)
+                        self._pending_drops,
+                        (self.now + self.dropping[attempt.server], me, ident, attempt.server),
                     )
                 return ident
-            actions = self.handle(me, Outcome(ident, number, sent.server, Result.CONNECT_FAILED, 0.0))
+            actions = self.handle(me, Outcome(ident, number, attempt.server, Result.CONNECT_FAILED, 0.0))
         return None
 
-    # What came of it
+    # Results
 
     def peak_placements(self, server: str, window: float = 1_000.0) -> int:
-        """The most openings at a server in any window of so many ms."""
+        """The largest number of openings at a server in any window of `window` ms."""
         times = [at for at, _, to in self.placements if to == server]
         return max((sum(at <= t < at + window for t in times) for at in times), default=0)
 
     def peak_list_requests(self, window: float = 250.0) -> int:
-        """The most calls for lists in any window of so many ms."""
+        """The largest number of list requests in any window of `window` ms."""
         return max(
             (sum(at <= t < at + window for t in self.list_requests) for at in self.list_requests), default=0
         )
 
     def connections_by_server(self) -> Counter[str]:
-        """Connections that stand at each server."""
+        """The number of established connections at each server."""
         return Counter(held.server for held in self.connections.values())
 
     def server_group_pairs(self) -> int:
-        """Pairs of a server and a group that it holds any of: what servers pay for."""
+        """The number of pairs of a server and a group of which it has a connection."""
         return len({(held.server, held.group) for held in self.connections.values()})
 
 
 def restarted(servers: list[Server], at: float) -> list[Server]:
-    """The same servers as a list tells them after a start at that time, in ms."""
+    """List entries of the same servers after a start at `at`, in ms."""
     return [Server(server.id, started=at, weight=server.weight) for server in servers]
 
 
 def removed(servers: list[Server]) -> list[Server]:
-    """The same servers as a list tells their end."""
+    """List entries that announce the end of these servers."""
     return [Server(server.id, state=ServerState.GONE) for server in servers]
--- a/puffinford/standins/holding.py
+++ b/puffinford/standins/holding.py
@@ -1,4 +1,4 @@
-"""Connections that clients hold open to a balancer that ends, on either front, read and written as lines."""
+"""Held connections: what clients write and read while their balancer shuts down, on either front."""
 
 from __future__ import annotations
 
@@ -15,51 +15,51 @@
 from puffinford.fronts.sockets import LineReader
 from puffinford.standins.listeners import LineStream
 
-HELD_STATES = ("fresh", "rested", "half", "standing")  # how far a connection has come before SIGTERM
-HALF = 20  # bytes of a request that is written by half
-CHANNEL = 1  # the client's number of its one channel
-WINDOW = 1 << 20  # bytes that a balancer may send on it
-PACKET = 32_768  # bytes of one of its packets
+HELD_STATES = ("fresh", "rested", "half", "standing")  # progress of a connection before SIGTERM
+HALF_REQUEST_BYTES = 20  # written of a request in state `half`
+CLIENT_CHANNEL_ID = 1  # the client's number for its only channel
+WINDOW_BYTES = 1 << 20  # that the balancer may send on the channel
+MAX_PACKET_BYTES = 32_768
 
 
 class Connection(Protocol):
-    """What a client does with a connection, whatever its front."""
+    """A client's connection that is read and written by lines, whatever its front."""
 
     stream: SocketStream
 
     async def next(self) -> bytes:
-        """The next line without its end; FIN or RST where the connection ends."""
+        """The next line without its line end; FIN or RST if the connection ends."""
 
     async def send_line(self, line: bytes) -> bool:
-        """Write a line; tells whether that could be done."""
+        """Write a line; False if the connection has ended."""
 
 
-class ChannelLines:
-    """A connection with one channel: its messages as the lines that mean the same."""
+class ChannelLineStream:
+    """A connection with one channel, whose messages are translated to lines of the same meaning."""
 
     def __init__(self, stream: SocketStream) -> None:
         self.stream = stream
         self._packets = codec.PacketReader(banner=True)
         self._reader = LineReader()
-        self._remote = 0
+        self._balancer_channel_id = 0
         self._answered = False
 
     async def next(self) -> bytes:
-        """The next line without its end; FIN or RST where the channel or the connection ends."""
+        """The next line without its line end; FIN or RST if the channel or the connection ends."""
         while (line := self._reader.next()) is None:
-            message = await self._message()
+            message = await self._next_message()
             if isinstance(message, bytes):
                 return message
-            told = self._told(message)
-            if told:
-                return told
+            translated = self._translate(message)
+            if translated:
+                return translated
         return line.rstrip(b"\r\n")
 
-    def _told(self, message: codec.Message) -> bytes:
-        """What a message says in the words of the line front; nothing where it only carries data."""
+    def _translate(self, message: codec.Message) -> bytes:
+        """The line of the line front with the same meaning; empty for a message that only carries data."""
         match message:
             case codec.OpenConfirmation(sender=sender, extra=extra):
-                self._remote, self._answered = sender, True
+                self._balancer_channel_id, self._answered = sender, True
                 return b"UP " + codec.PayloadReader(extra).string()
             case codec.OpenFailure(reason=reason, description=text):
                 self._answered = True
@@ -76,7 +76,7 @@
                 self._reader.feed(data)
         return b""
 
-    async def _message(self) -> codec.Message | bytes:
+    async def _next_message(self) -> codec.Message | bytes:
         while (payload := self._packets.next()) is None:
             try:
                 self._packets.feed(await self.stream.receive())
@@ -87,12 +87,12 @@
         return codec.decode(payload)
 
     async def send_line(self, line: bytes) -> bool:
-        """Write a line; tells whether that could be done."""
-        return await send(self.stream, codec.encode(codec.Data(self._remote, line + b"\r\n")))
+        """Write a line; False if the connection has ended."""
+        return await send(self.stream, codec.encode(codec.Data(self._balancer_channel_id, line + b"\r\n")))
 
 
 async def send(stream: SocketStream, data: bytes) -> bool:
-    """Write bytes; tells whether that could be done."""
+    """Write bytes; False if the connection has ended."""
     with contextlib.suppress(anyio.BrokenResourceError, anyio.ClosedResourceError):
         await stream.send(data)
         return True
@@ -100,41 +100,43 @@
 
 
 @dataclass(frozen=True)
-class Script:
+class HeldScript:
     """What a held connection writes: `before` at once, and the `rest` of its request later."""
 
     before: bytes
     rest: bytes
-    greeted: bool = False  # the balancer answers what is written before
+    greeted: bool = False  # the balancer answers `before`
 
 
-def _parts(state: str, greeting: bytes, request: bytes) -> tuple[bytes, bytes]:
-    """What is written before and after a connection has come as far as `state`."""
+def _split_request(state: str, greeting: bytes, request: bytes) -> tuple[bytes, bytes]:
+    """The bytes that bring a connection to `state`, and those that complete its request."""
     match state:
         case "fresh":
             return b"", request
         case "rested":
             return greeting, request
         case "half":
-            return request[:HALF], request[HALF:]
+            return request[:HALF_REQUEST_BYTES], request[HALF_REQUEST_BYTES:]
         case "standing":
             return request, b""
     raise ValueError(f"{state!r} is none of {' '.join(HELD_STATES)}")
 
 
-def line_script(state: str, opening: bytes) -> Script:
-    """Of a line connection; `opening` is the request's line without its end."""
-    return Script(*_parts(state, b"PING\r\n", opening + b"\r\n"), greeted=state == "rested")
+def line_script(state: str, opening: bytes) -> HeldScript:
+    """The script of a line connection; `opening` is the request's line without its line end."""
+    return HeldScript(*_split_request(state, b"PING\r\n", opening + b"\r\n"), greeted=state == "rested")
 
 
-def channel_script(state: str, opening: bytes, wait: float) -> Script:
-    """Of a channel connection, for the same request; `wait` is the client's time in ms."""
-    _, job, key, figures = opening.decode("latin-1").split(" ")
-    told = tuple((name, value) for name, _, value in (part.partition("=") for part in figures.split(",")))
-    extra = encode_opening(Opening.from_parameters(job, key, told), wait)
-    message = codec.encode(codec.ChannelOpen(codec.REQUEST_CHANNEL, CHANNEL, WINDOW, PACKET, extra))
+def channel_script(state: str, opening: bytes, wait: float) -> HeldScript:
+    """The script of a channel connection for the same request; `wait` is the client's time limit in ms."""
+    _, request_id, key, text = opening.decode("latin-1").split(" ")
+    parameters = tuple((name, value) for name, _, value in (part.partition("=") for part in text.split(",")))
+    extra = encode_opening(Opening.from_parameters(request_id, key, parameters), wait)
+    message = codec.encode(
+        codec.ChannelOpen(codec.REQUEST_CHANNEL, CLIENT_CHANNEL_ID, WINDOW_BYTES, MAX_PACKET_BYTES, extra)
+    )
     version = codec.VERSION.encode() + b"\r\n"
     if state == "fresh":
-        return Script(b"", version + message)
-    before, rest = _parts(state, b"", message)
-    return Script(version + before, rest)
+        return HeldScript(b"", version + message)
+    before, rest = _split_request(state, b"", message)
+    return HeldScript(version + before, rest)
--- a/puffinford/standins/listeners.py
+++ b/puffinford/standins/listeners.py
@@ -1,4 +1,4 @@
-"""A listening port that can refuse, be unreachable and come back, and streams that can break."""
+"""A listening port that can refuse or drop connections and listen again, and line streams with resets."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 import anyio.abc
 from anyio.abc import SocketAttribute, SocketStream
 
-Play = Callable[[SocketStream], Awaitable[None]]
-HOST = "127.0.0.1"
+ConnectionHandler = Callable[[SocketStream], Awaitable[None]]
+HOST = "127.0.0.1"  # of every stand-in
 
 
 async def reset(stream: SocketStream) -> None:
@@ -24,28 +24,28 @@
 
 
 class LineStream:
-    """Lines of a stream, with the two ways in which it can end."""
+    """The lines of a stream; its end is returned as FIN or RST."""
 
     FIN, RST = b"FIN", b"RST"
 
     def __init__(self, stream: SocketStream) -> None:
         self.stream = stream
-        self._rest = b""
+        self._buffer = b""
 
     async def next(self) -> bytes:
-        """The next line without its end; FIN or RST where the connection ends."""
-        while b"\n" not in self._rest:
+        """The next line without its line end; FIN or RST if the connection ends."""
+        while b"\n" not in self._buffer:
             try:
-                self._rest += await self.stream.receive()
+                self._buffer += await self.stream.receive()
             except anyio.EndOfStream:
                 return self.FIN
             except (anyio.BrokenResourceError, anyio.ClosedResourceError):
                 return self.RST
-        line, _, self._rest = self._rest.partition(b"\n")
+        line, _, self._buffer = self._buffer.partition(b"\n")
         return line.rstrip(b"\r")
 
     async def send_line(self, line: bytes) -> bool:
-        """Write a line; tells whether that could be done."""
+        """Write a line; False if the connection has ended."""
         try:
             await self.stream.send(line + b"\r\n")
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
@@ -54,57 +54,57 @@
 
 
 class ListeningPort:
-    """A port of its own on loopback, for as long as `tasks` run. It starts closed, and so refuses."""
+    """A port on loopback, bound while `tasks` run. It starts closed, so connections are refused."""
 
-    def __init__(self, play: Play, tasks: anyio.abc.TaskGroup) -> None:
-        self._play = play
+    def __init__(self, handle: ConnectionHandler, tasks: anyio.abc.TaskGroup) -> None:
+        self._handle = handle
         self._tasks = tasks
         self._scope: anyio.CancelScope | None = None
-        self._fill: list[socket.socket] = []
-        self._held = self._bound(0)  # bound and not listening: connections are refused
-        self.number = int(self._held.getsockname()[1])
+        self._backlog_fillers: list[socket.socket] = []
+        self._listener = self._bind(0)  # bound and not listening: connections are refused
+        self.number = int(self._listener.getsockname()[1])
         self.streams: set[SocketStream] = set()
 
     @staticmethod
-    def _bound(number: int) -> socket.socket:
-        made = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        made.bind((HOST, number))
-        return made
+    def _bind(number: int) -> socket.socket:
+        bound = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        bound.bind((HOST, number))
+        return bound
 
     def open(self) -> None:
-        """Take connections."""
+        """Accept connections."""
         self.close()
-        self._held.listen(256)
-        self._held.setblocking(False)
+        self._listener.listen(256)
+        self._listener.setblocking(False)
         self._scope = anyio.CancelScope()
-        self._tasks.start_soon(self._accept, self._held, self._scope)
+        self._tasks.start_soon(self._accept, self._listener, self._scope)
 
     def close(self) -> None:
-        """Take none: they are refused. Those that are open stay."""
+        """Refuse new connections. Open ones stay."""
         if self._scope is not None:
             self._scope.cancel()
             self._scope = None
-        for sock in self._fill:
+        for sock in self._backlog_fillers:
             sock.close()
-        self._fill.clear()
+        self._backlog_fillers.clear()
         with contextlib.suppress(OSError):
-            anyio.notify_closing(self._held)
-        self._held.close()
-        self._held = self._bound(self.number)
+            anyio.notify_closing(self._listener)
+        self._listener.close()
+        self._listener = self._bind(self.number)
 
     def drop_packets(self) -> None:
-        """Neither take connections nor refuse them: they never come up."""
+        """Drop the packets of new connections, which then neither open nor fail."""
         self.close()
-        self._held.listen(0)
+        self._listener.listen(0)
         for _ in range(4):
             sock = socket.socket()
             sock.setblocking(False)
             sock.connect_ex((HOST, self.number))
-            self._fill.append(sock)
+            self._backlog_fillers.append(sock)
 
     async def _accept(self, listener: socket.socket, scope: anyio.CancelScope) -> None:
-        # Closed before its task had its first turn, it is no descriptor any more.
+        # A listener that was closed before this task first ran has no valid descriptor.
         with scope, contextlib.suppress(ValueError, anyio.ClosedResourceError):
             while True:
                 await anyio.wait_readable(listener)
@@ -119,12 +119,12 @@
         self.streams.add(stream)
         try:
             with contextlib.suppress(anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
-                await self._play(stream)
+                await self._handle(stream)
         finally:
             self.streams.discard(stream)
             await anyio.aclose_forcefully(stream)
 
     async def reset_all(self) -> None:
-        """End all that is open with RST, as a process that dies does."""
+        """End all open connections with RST, as a process that dies does."""
         for stream in list(self.streams):
             await reset(stream)
--- a/puffinford/standins/lists.py
+++ b/puffinford/standins/lists.py
@@ -1,7 +1,7 @@
-"""A lean list service for many thousands of watchers: the protocol of `discovery`, on bare asyncio.
+"""A list service for many thousands of watches: the protocol of `discovery`, on plain asyncio protocols.
 
-Calls are answered one at a time, each taking `service_ms`, as a list service does that has one worker. A
-call whose connection has ended before its turn costs it nothing.
+Calls are answered one at a time and take `service_ms` each, as by a service with one worker. A call whose
+connection ends before its turn takes no time.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from puffinford.standins.discovery import CALL, EntryRegistry
+from puffinford.standins.discovery import CALL_PATTERN, EntryRegistry
 from puffinford.standins.listeners import HOST
 
-BACKLOG = 4_096
-HEAD_MOST = 8_192  # bytes; a longer head is no call
+BACKLOG = 4_096  # connections waiting to be accepted
+MAX_HEAD_BYTES = 8_192  # of a request; longer ones are reset
 
 
 @dataclass
 class CallCounts:
-    """What has come to one port, and gone out; bytes without those of TCP and IP."""
+    """Calls and bytes at one port; bytes of the payload, without TCP and IP."""
 
     calls: int = 0
     bytes_received: int = 0
@@ -32,9 +32,9 @@
 
 @dataclass
 class ListService:
-    """The list, its watches and the queue of calls. `open` gives a port to each group of callers."""
+    """The list, its watches and the queue of calls. Each group of callers has a port of its own."""
 
-    service_ms: float = 0.0
+    service_ms: float = 0.0  # duration of a call
     registry: EntryRegistry = field(default_factory=EntryRegistry)
     counts: dict[str, CallCounts] = field(default_factory=dict)
     calls_by_second: Counter[int] = field(default_factory=Counter)
@@ -43,16 +43,16 @@
     silent: set[str] = field(default_factory=set)  # groups whose calls are taken and never answered
 
     def __post_init__(self) -> None:
-        self._bodies: dict[int | None, bytes] = {}  # answers at the present version, by index
-        self._watches: dict[Call, None] = {}  # the oldest first
+        self._bodies: dict[int | None, bytes] = {}  # answers at the current version, by index
+        self._watches: dict[Call, None] = {}  # oldest first
         self._queue: deque[Call] = deque()
-        self._free_at = 0.0  # when the call that is being answered is done, on the loop's time
-        self._open: set[Call] = set()
+        self._free_at = 0.0  # loop time at which the current call is done
+        self._open_calls: set[Call] = set()
         self._servers: list[asyncio.Server] = []
         self._ports: dict[str, int] = {}
 
     async def open(self, groups: list[str]) -> dict[str, str]:
-        """Listen for each group at a port of its own; the addresses, which stay the same over outages."""
+        """Listen on a port per group and return the addresses by group; they stay the same after `close`."""
         for group in groups:
             counts = self.counts.setdefault(group, CallCounts())
             listener = socket.socket()
@@ -60,28 +60,30 @@
             listener.bind((HOST, self._ports.get(group, 0)))
             self._ports[group] = listener.getsockname()[1]
             loop = asyncio.get_running_loop()
-            server = await loop.create_server(self._protocol(group, counts), sock=listener, backlog=BACKLOG)
+            server = await loop.create_server(
+                self._protocol_factory(group, counts), sock=listener, backlog=BACKLOG
+            )
             self._servers.append(server)
         return {group: f"{HOST}:{port}" for group, port in self._ports.items()}
 
-    def _protocol(self, group: str, counts: CallCounts) -> Callable[[], asyncio.Protocol]:
+    def _protocol_factory(self, group: str, counts: CallCounts) -> Callable[[], asyncio.Protocol]:
         return lambda: Call(self, group, counts)
 
     def close(self) -> None:
-        """Refuse connections, and break those that are there."""
+        """Refuse new connections and reset open ones."""
         for server in self._servers:
             server.close()
         self._servers.clear()
         self.reset_all()
 
     def reset_all(self) -> None:
-        """End every connection with RST, as a process that dies does."""
-        self.reset_count += len(self._open)
-        for call in list(self._open):
+        """End all connections with RST, as a process that dies does."""
+        self.reset_count += len(self._open_calls)
+        for call in list(self._open_calls):
             call.abort()
 
     def put(self, ident: str, **more: object) -> int:
-        """Change an entry, and answer the watches; the new version."""
+        """Change an entry, answer the watches and return the new version."""
         self.registry.put(ident, **more)
         self._bodies.clear()
         waiting, self._watches = self._watches, {}
@@ -90,28 +92,28 @@
             self._enqueue(call)
         return self.registry.version
 
-    def opened(self, call: Call) -> None:
-        """A connection is there."""
-        self._open.add(call)
+    def on_open(self, call: Call) -> None:
+        """Note a new connection."""
+        self._open_calls.add(call)
 
-    def called(self, call: Call) -> None:
-        """A whole call has come."""
+    def on_call(self, call: Call) -> None:
+        """Answer a complete call, or keep it as a watch."""
         self.calls_by_second[int(time.time())] += 1
         index = call.index
         if index is not None and index == self.registry.version and call.wait > 0.0:
             self._watches[call] = None
-            call.start_waiting(lambda: self._waited(call))
+            call.start_waiting(lambda: self._watch_timed_out(call))
         else:
             self._enqueue(call)
 
-    def _waited(self, call: Call) -> None:
+    def _watch_timed_out(self, call: Call) -> None:
         if call in self._watches:
             del self._watches[call]
             self._enqueue(call)
 
-    def closed(self, call: Call) -> None:
-        """A connection has ended, by whomever."""
-        self._open.discard(call)
+    def on_closed(self, call: Call) -> None:
+        """Forget a connection that either side has ended."""
+        self._open_calls.discard(call)
         self._watches.pop(call, None)
 
     def _enqueue(self, call: Call) -> None:
@@ -126,18 +128,18 @@
             self._serve_next()
 
     def _serve_next(self) -> None:
-        """Begin with the first call of the queue that is still there."""
-        while self._queue and self._queue[0] not in self._open:
+        """Begin with the first call in the queue whose connection is open."""
+        while self._queue and self._queue[0] not in self._open_calls:
             self._queue.popleft()
         if self._queue:
             loop = asyncio.get_running_loop()
-            # Guards the rate against timers that are late: each call begins when the one before was due.
+            # Prevents a loss of rate by late timers: a call starts when the previous one was due to end.
             self._free_at = max(self._free_at, loop.time()) + self.service_ms / 1_000.0
-            loop.call_at(self._free_at, self._served)
+            loop.call_at(self._free_at, self._finish_call)
 
-    def _served(self) -> None:
+    def _finish_call(self) -> None:
         call = self._queue.popleft()
-        if call in self._open:
+        if call in self._open_calls:
             call.answer(self._body(call.index))
         self._serve_next()
 
@@ -151,7 +153,7 @@
 
 
 class Call(asyncio.Protocol):
-    """One connection with its one call."""
+    """One connection, which carries one call."""
 
     __slots__ = ("_counts", "_head", "_service", "_timer", "_transport", "group", "index", "wait")
 
@@ -168,42 +170,42 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._service.opened(self)
+        self._service.on_open(self)
 
     def data_received(self, data: bytes) -> None:
         self._counts.bytes_received += len(data)
         self._head += data
-        if len(self._head) > HEAD_MOST:
+        if len(self._head) > MAX_HEAD_BYTES:
             self._transport.abort()
         elif self._head.endswith(b"\r\n\r\n"):
             self._counts.calls += 1
-            found = CALL.match(self._head)
+            found = CALL_PATTERN.match(self._head)
             if found is not None and found[1]:
                 self.index, self.wait = int(found[1]), float(found[2])
-            self._service.called(self)
+            self._service.on_call(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.stop_waiting()
-        self._service.closed(self)
+        self._service.on_closed(self)
 
-    def start_waiting(self, late: Callable[[], None]) -> None:
-        """A watch without news is answered after its wait."""
-        self._timer = asyncio.get_running_loop().call_later(self.wait / 1_000.0, late)
+    def start_waiting(self, on_timeout: Callable[[], None]) -> None:
+        """Call `on_timeout` after the wait of the watch, unless it is stopped before."""
+        self._timer = asyncio.get_running_loop().call_later(self.wait / 1_000.0, on_timeout)
 
     def stop_waiting(self) -> None:
-        """There is news, or the connection has ended."""
+        """Cancel the timeout of the watch."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def answer(self, body: bytes) -> None:
-        """Write the answer, and end the connection in order."""
+        """Write the answer and close the connection."""
         self._counts.bytes_sent += len(body)
         self._transport.write(body)
         self._transport.close()
 
     def abort(self) -> None:
-        """Break the connection."""
+        """End the connection with RST."""
         sock = self._transport.get_extra_info("socket")
         if sock is not None:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
--- a/puffinford/standins/servers.py
+++ b/puffinford/standins/servers.py
@@ -1,4 +1,4 @@
-"""A line server with the faults that servers have."""
+"""A server of the line protocol, with capacity, slow start and scripted faults."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 from puffinford.standins.listeners import HOST, LineStream, ListeningPort, reset
 from puffinford.standins.trace import EventKind, Trace
 
-LOAD_REPORT_INTERVAL_MS = 1_000.0  # ms between notes of slow messages
+LOAD_REPORT_INTERVAL_MS = 1_000.0
 SERVER_STATES = (
     "sound", "refusing", "unreachable", "silent", "resetting",
     "dropping", "busy", "failing", "draining", "slow",
 )  # fmt: skip
-DROPPED_AFTER = 50.0  # ms that a connection stands at a server that drops
-SERVING_STATES = ("sound", "slow", "cold")  # states in which it takes clients, as the trace names them
+DROP_DELAY_MS = 50.0  # from UP until a server in state `dropping` resets the connection
+SERVING_STATES = ("sound", "slow", "cold")  # states in which a server accepts clients, as in the trace
 
 
 @dataclass(frozen=True)
 class ServerProfile:
-    """What a server can do. Times in ms."""
-
-    set_up: float = 5.0  # from an opening to its UP
-    message: float = 1.0  # from a line to its answer, with little on it
-    capacity: int = 500  # connections that it holds; the next is told BUSY
-    crowded: float = 0.5  # part of the capacity from which messages take longer
-    slow_by: float = 20.0  # times as long while it is slow
-    cold_from: float = 0.15  # part of the capacity that a start begins with
-    warm_ms: float = 0.0  # and is warm after; 0 where starts are warm
+    """The capacity and speed of a server. Times are in ms."""
+
+    set_up: float = 5.0  # mean time from an opening to its UP
+    message: float = 1.0  # from a line to its answer, without load
+    capacity: int = 500  # connections; the next gets BUSY
+    crowded: float = 0.5  # fraction of the capacity above which messages take longer
+    slow_by: float = 20.0  # factor on all times in state `slow`
+    cold_from: float = 0.15  # fraction of the capacity at a cold start
+    warm_ms: float = 0.0  # duration of the slow start; 0 without one
     zone: str = ""
     kind: str = ""
 
 
 class LineServer:
-    """A stand-in server. It starts stopped; `set_state` one of SERVER_STATES, or `start` it cold."""
+    """A stand-in server. It refuses connections until `set_state` or `start`."""
 
     def __init__(
         self,
@@ -52,70 +52,70 @@
         self.id = ident
         self.profile = profile
         self.state = "refusing"
-        self.started_at: float = 0.0  # on the clock; 0: long ago
+        self.started_at: float = 0.0  # on the clock, of a cold start; 0 if warm
         self.open_connections = 0
         self._clock = clock
         self._trace = trace
         self._rng = rng
         self._tasks = tasks
-        self._claims = 0
-        self._jobs: set[str] = set()  # whose connections stand here
-        self._port = ListeningPort(self._play, tasks)
+        self._attempt_count = 0
+        self._established: set[str] = set()  # requests whose connections are established here
+        self._port = ListeningPort(self._serve_connection, tasks)
         self._changed = anyio.Event()
 
     @property
     def address(self) -> str:
-        """HOST:PORT, the same for as long as it is there."""
+        """HOST:PORT, the same as long as the instance exists."""
         return f"{HOST}:{self._port.number}"
 
     def set_state(self, state: str) -> None:
-        """Change what it does, for those that stand there too."""
+        """Change the state, for established connections too; one of SERVER_STATES."""
         if state not in SERVER_STATES:
             raise ValueError(f"{state!r} is none of {' '.join(SERVER_STATES)}")
-        was, self.state = self.state, state
+        previous, self.state = self.state, state
         if state == "refusing":
             self._port.close()
         elif state == "unreachable":
             self._port.drop_packets()
-        elif was in ("refusing", "unreachable"):
+        elif previous in ("refusing", "unreachable"):
             self._port.open()
         self._trace.add(EventKind.STATE, server=self.id, detail=state)
         self._changed.set()
         self._changed = anyio.Event()
 
     def start(self, *, cold: bool = False) -> None:
-        """Start, or start again."""
+        """Start, or start again, with the capacity of a `cold` start if asked to."""
         self.started_at = self._clock.now() if cold else 0.0
         self.set_state("sound")
         if cold:
             self._trace.add(EventKind.STATE, server=self.id, detail="cold")
 
     async def crash(self) -> None:
-        """Die: what stands is reset, and new connections are refused."""
+        """Reset all connections and refuse new ones."""
         self.set_state("refusing")
-        for job in self._jobs:
-            self._trace.add(EventKind.BROKEN, request_id=job, server=self.id)
-        self._jobs.clear()
+        for request_id in self._established:
+            self._trace.add(EventKind.BROKEN, request_id=request_id, server=self.id)
+        self._established.clear()
         await self._port.reset_all()
 
     def capacity_share(self) -> float:
-        """The part of its capacity that it has now."""
+        """The fraction of its capacity that it has now."""
         if not self.started_at or not self.profile.warm_ms:
             return 1.0
         age = (self._clock.now() - self.started_at) / self.profile.warm_ms
         return min(1.0, self.profile.cold_from + (1.0 - self.profile.cold_from) * age)
 
     def delay(self) -> float:
-        """How long a message takes now, in ms: longer the more it holds past `crowded`."""
-        room = max(1.0, self.profile.capacity * self.capacity_share())
-        over = max(0.0, self.open_connections / room - self.profile.crowded)
+        """Duration of a message now, in ms; it grows with the load above `crowded`."""
+        capacity = max(1.0, self.profile.capacity * self.capacity_share())
+        overload = max(0.0, self.open_connections / capacity - self.profile.crowded)
         return (
             self.profile.message
-            * (1.0 + 10.0 * over)
+            * (1.0 + 10.0 * overload)
             * (self.profile.slow_by if self.state == "slow" else 1.0)
         )
 
-    async def _play(self, stream: SocketStream) -> None:
+    async def _serve_connection(self, stream: SocketStream) -> None:
         lines = LineStream(stream)
         first = await lines.next()
         words = first.decode("latin-1").split(" ")
@@ -125,20 +125,22 @@
             return
         if words[0] != "OPEN" or len(words) != 4:
             return
-        self._claims += 1
-        claim, job = f"{self.id}-{self._claims}", words[1]
-        self._trace.add(EventKind.ATTEMPT, request_id=job, server=self.id, detail=claim)
+        self._attempt_count += 1
+        attempt_id, request_id = f"{self.id}-{self._attempt_count}", words[1]
+        self._trace.add(EventKind.ATTEMPT, request_id=request_id, server=self.id, detail=attempt_id)
         try:
-            await self._open(stream, lines, claim, job)
+            await self._answer_opening(stream, lines, attempt_id, request_id)
         finally:
-            self._trace.add(EventKind.ATTEMPT_END, request_id=job, server=self.id, detail=claim)
+            self._trace.add(EventKind.ATTEMPT_END, request_id=request_id, server=self.id, detail=attempt_id)
 
-    async def _open(self, stream: SocketStream, lines: LineStream, claim: str, job: str) -> None:
+    async def _answer_opening(
+        self, stream: SocketStream, lines: LineStream, attempt_id: str, request_id: str
+    ) -> None:
         full = self.open_connections >= self.profile.capacity * self.capacity_share()
         if not (self.state in ("busy", "draining") or (full and self.state in SERVING_STATES)):
-            self._trace.add(EventKind.EXECUTED, request_id=job, server=self.id, detail=claim)
+            self._trace.add(EventKind.EXECUTED, request_id=request_id, server=self.id, detail=attempt_id)
         if self.state == "silent":
-            await lines.next()  # until the balancer gives it up
+            await lines.next()  # until the balancer cancels the attempt
             return
         if self.state == "resetting":
             return await reset(stream)
@@ -151,53 +153,53 @@
         ):
             await lines.send_line(b"BUSY")
             return
-        slow = self.profile.slow_by if self.state == "slow" else 1.0
-        await self._clock.sleep(self.profile.set_up * slow * self._rng.uniform(0.5, 1.5))
-        self._jobs.add(job)  # it may crash before the next turn, with UP on its way
+        slowdown = self.profile.slow_by if self.state == "slow" else 1.0
+        await self._clock.sleep(self.profile.set_up * slowdown * self._rng.uniform(0.5, 1.5))
+        self._established.add(request_id)  # before UP: a crash right after it counts this connection
         try:
-            if await lines.send_line(f"UP r-{claim}".encode()):
-                await self._serve(stream, lines, job)
+            if await lines.send_line(f"UP r-{attempt_id}".encode()):
+                await self._serve(stream, lines, request_id)
         finally:
-            self._jobs.discard(job)
+            self._established.discard(request_id)
 
-    async def _serve(self, stream: SocketStream, lines: LineStream, job: str) -> None:
-        """A connection from its UP to its end."""
+    async def _serve(self, stream: SocketStream, lines: LineStream, request_id: str) -> None:
+        """Serve a connection from its UP to its end."""
         self.open_connections += 1
         try:
             if self.state == "dropping":
-                await self._drop(stream, lines, job)
+                await self._drop(stream, lines, request_id)
             else:
-                await self._stand(stream, lines)
+                await self._echo_lines(stream, lines)
         finally:
             self.open_connections -= 1
 
-    async def _drop(self, stream: SocketStream, lines: LineStream, job: str) -> None:
-        """Reset a connection a moment after its UP, unless its other side ends it first."""
-        with self._clock.limit(DROPPED_AFTER):
+    async def _drop(self, stream: SocketStream, lines: LineStream, request_id: str) -> None:
+        """Reset a connection DROP_DELAY_MS after its UP, unless the balancer ends it first."""
+        with self._clock.limit(DROP_DELAY_MS):
             while await lines.next() not in (LineStream.FIN, LineStream.RST):
                 pass
             return
-        self._trace.add(EventKind.BROKEN, request_id=job, server=self.id)
+        self._trace.add(EventKind.BROKEN, request_id=request_id, server=self.id)
         await reset(stream)
 
-    async def _stand(self, stream: SocketStream, lines: LineStream) -> None:
-        noted = 0.0
-        moving = False
+    async def _echo_lines(self, stream: SocketStream, lines: LineStream) -> None:
+        last_report_at = 0.0
+        move_sent = False
         while True:
             line = await lines.next()
             if line in (LineStream.FIN, LineStream.RST):
                 return
             while self.state == "silent":
                 await self._changed.wait()
-            if self.state == "draining" and not moving:
-                moving = True
+            if self.state == "draining" and not move_sent:
+                move_sent = True
                 await lines.send_line(b"MOVE")
                 return
             delay = self.delay()
             await self._clock.sleep(delay)
             now = self._clock.now()
-            if self.state == "slow" and now >= noted + LOAD_REPORT_INTERVAL_MS:
-                noted = now
+            if self.state == "slow" and now >= last_report_at + LOAD_REPORT_INTERVAL_MS:
+                last_report_at = now
                 await lines.send_line(f"LOAD {delay:.1f}".encode())
             if not await lines.send_line(line):
                 return
--- a/puffinford/standins/trace.py
+++ b/puffinford/standins/trace.py
@@ -1,4 +1,4 @@
-"""What stand-ins saw, in one order, for reports and for the checkers of the rules."""
+"""The trace of a run: typed events in the order in which the stand-ins saw them, for reports and checks."""
 
 from __future__ import annotations
 
@@ -9,81 +9,77 @@
 
 
 class EventKind(Enum):
-    """A thing seen. `job` and `server` of the entry say of whom."""
-
-    REQUESTED = "asked"  # a client has sent its opening
-    UP = "up"  # ... and stands
-    BUSY = "busy"  # ... or was turned away
-    FAILED = "failed"  # ... or got any other answer
-    LOST = "lost"  # ... or none: the connection ended first, or its time was up
-    MOVED = "moved"  # a standing client was sent away in order
-    CUT_OFF = "cut"  # ... or its connection ended without a word
-    ANSWERED = "answered"  # a line of a standing client came back
-    DONE = "done"  # ... or it ended it itself
-    ATTEMPT = "claim"  # an opening has come to a server
-    EXECUTED = "ran"  # ... and may have had its effect: the server did anything but turn it away
-    ATTEMPT_END = "claim end"  # its connection has ended
-    BROKEN = "broken"  # a server resets a connection that stands at it: the cut that follows is its own
-    LISTED = "told"  # discovery wrote an answer that says of a server: see `detail`
-    FAULT = "fault"  # a fault begins or ends at a link or process: see `by` and `detail`
-    STATE = "state"  # a server has changed what it does: see `detail`
-
-
-KILLED = "killed"  # detail of a FAULT: a balancer that was told to end ran on until then
-CROWD_ARRIVES = "crowd"  # first word of the detail of a FAULT: idle clients come to a balancer
-FAULT_OVER = "wake"  # detail of a FAULT: that of a balancer is over
+    """What a stand-in saw. `request_id` and `server` of the event name the request and the server."""
+
+    REQUESTED = "asked"  # a client sent its opening
+    UP = "up"  # the client got UP
+    BUSY = "busy"  # the client got BUSY
+    FAILED = "failed"  # the client got any other answer
+    LOST = "lost"  # the client got none: its connection ended, or its time ran out
+    MOVED = "moved"  # an established client got MOVE
+    CUT_OFF = "cut"  # an established connection ended without MOVE
+    ANSWERED = "answered"  # an established client got its line back
+    DONE = "done"  # an established client closed its connection
+    ATTEMPT = "claim"  # a server received an opening
+    EXECUTED = "ran"  # the request may have had its effect: the server will not refuse it
+    ATTEMPT_END = "claim end"  # the connection of an attempt ended
+    BROKEN = "broken"  # a server resets an established connection, so that the cut is its own
+    LISTED = "told"  # discovery wrote an answer that holds a server; `detail` is the listed state
+    FAULT = "fault"  # a fault begins or ends; `balancer` is the link or process, `detail` the fault
+    STATE = "state"  # a server changed its behaviour; `detail` is the new state
+
+
+KILLED = "killed"  # detail of a FAULT: a balancer outlived its shutdown and is killed
+CROWD_ARRIVES = "crowd"  # first word of the detail of a FAULT: idle clients connect to a balancer
+FAULT_OVER = "wake"  # detail of a FAULT: the balancer's fault has ended
 ANSWERS = (EventKind.UP, EventKind.BUSY, EventKind.FAILED, EventKind.LOST)
 
 
 @dataclass(frozen=True, slots=True)
 class TraceEvent:
-    """One thing at one time, in ms since the trace began."""
+    """One event; `at` is in ms since the trace began."""
 
     at: float
     kind: EventKind
     request_id: str = ""
     server: str = ""
     cls: str = ""
-    ms: float = 0.0  # how long it took, where that can be said; of a TOLD, the server's start in Unix ms
+    ms: float = 0.0  # duration, where there is one; of a LISTED, the server's start in Unix ms
     detail: str = ""
-    balancer: str = (
-        ""  # the balancer that it came from or went to, where known; of a FAULT, the link or balancer
-    )
+    balancer: str = ""  # the balancer at the other end, if known; of a FAULT, the link or balancer
 
 
 class Trace:
-    """Entries in the order in which they were seen; `now` gives ms of any one clock."""
+    """Events in the order in which they were seen; `now` returns ms of a single clock."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
-        self._began = now()
+        self._started_at = now()
         self.events: list[TraceEvent] = []
-        self.serving_started_at = 0.0  # ms: when the first client could come
-        self.serving_ended_at = 0.0  # ms: when the last had come
-        self._balancer_of_request: dict[
-            str, str
-        ] = {}  # the balancer that each job went to, where its client says
+        self.serving_started_at = 0.0  # ms: when clients began to arrive
+        self.serving_ended_at = 0.0  # ms: when the last client had arrived
+        self._balancer_of_request: dict[str, str] = {}  # as the client of each request names it
 
     @property
     def elapsed(self) -> float:
         """Ms since the trace began."""
-        return self._now() - self._began
+        return self._now() - self._started_at
 
     def add(self, kind: EventKind, **more: object) -> None:
-        """See a thing now."""
-        entry = TraceEvent(self.elapsed, kind, **more)  # type: ignore[arg-type]
+        """Record an event that happens now."""
+        event = TraceEvent(self.elapsed, kind, **more)  # type: ignore[arg-type]
         if kind is EventKind.REQUESTED:
-            self._balancer_of_request[entry.request_id] = entry.balancer
-        elif kind in (EventKind.ATTEMPT, EventKind.EXECUTED, EventKind.ATTEMPT_END) and not entry.balancer:
-            entry = replace(entry, balancer=self._balancer_of_request.get(entry.request_id, ""))
-        self.events.append(entry)
+            self._balancer_of_request[event.request_id] = event.balancer
+        elif kind in (EventKind.ATTEMPT, EventKind.EXECUTED, EventKind.ATTEMPT_END) and not event.balancer:
+            event = replace(event, balancer=self._balancer_of_request.get(event.request_id, ""))
+        self.events.append(event)
 
     def of(self, *kinds: EventKind) -> Iterator[TraceEvent]:
-        """The entries of these kinds."""
-        return (entry for entry in self.events if entry.kind in kinds)
+        """The events of these kinds, in order."""
+        return (event for event in self.events if event.kind in kinds)
 
     def count(
-        self, kind: EventKind, by: Callable[[TraceEvent], str] = lambda entry: entry.cls
+        self, kind: EventKind, key: Callable[[TraceEvent], str] = lambda event: event.cls
     ) -> Counter[str]:
-        """How often a thing was seen, by class or by whatever `by` names."""
-        return Counter(by(entry) for entry in self.of(kind))
+        """The number of events of a kind, by request class or by the result of `key`."""
+        return Counter(key(event) for event in self.of(kind))
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""The checkers find what they are for, scripts are checked, and a play of seconds keeps the rules."""
+"""Stand-ins: the checks find breaches, invalid scripts are rejected, and a short run keeps the rules."""
 
 from __future__ import annotations
 
@@ -26,15 +26,20 @@
 
 
 def attempt(
-    at: float, job: str, server: str, end: float | None = None, by: str = ""
+    at: float, request_id: str, server: str, end: float | None = None, balancer: str = ""
 ) -> list[tuple[float, EventKind, dict[str, Any]]]:
-    who = {"request_id": job, "server": server, "detail": f"{job}-{server}", "balancer": by}
-    made = [(at, EventKind.ATTEMPT, who)]
-    return made if end is None else [*made, (end, EventKind.ATTEMPT_END, who)]
+    fields = {
+        "request_id": request_id,
+        "server": server,
+        "detail": f"{request_id}-{server}",
+        "balancer": balancer,
+    }
+    events = [(at, EventKind.ATTEMPT, fields)]
+    return events if end is None else [*events, (end, EventKind.ATTEMPT_END, fields)]
 
 
 REQUESTED, UP, BUSY = (
-    (what, {"request_id": "j"}) for what in (EventKind.REQUESTED, EventKind.UP, EventKind.BUSY)
+    (kind, {"request_id": "j"}) for kind in (EventKind.REQUESTED, EventKind.UP, EventKind.BUSY)
 )
 
 
@@ -48,15 +53,15 @@
         (checks.no_overlapping_attempts, [*attempt(0, "j", "a", 10), *attempt(10, "j", "b", 500)], 0),
         (
             checks.no_overlapping_attempts,
-            sorted([*attempt(0, "j", "a", 300), *attempt(100, "j", "b", 500)], key=lambda e: e[0]),
+            sorted([*attempt(0, "j", "a", 300), *attempt(100, "j", "b", 500)], key=lambda event: event[0]),
             1,
         ),
         (
             checks.no_overlapping_attempts,
             [
                 (0, EventKind.FAULT, {"balancer": "n1>a", "detail": "hold"}),
-                *attempt(10, "j", "a", by="n1"),
-                *attempt(100, "j", "b", 500, by="n1"),
+                *attempt(10, "j", "a", balancer="n1"),
+                *attempt(100, "j", "b", 500, balancer="n1"),
                 (600, EventKind.FAULT, {"balancer": "n1>a", "detail": "sound"}),
             ],
             0,
@@ -65,8 +70,8 @@
             checks.no_overlapping_attempts,
             [
                 (0, EventKind.FAULT, {"balancer": "n1>c", "detail": "hold"}),
-                *attempt(10, "j", "a", by="n1"),
-                *attempt(100, "j", "b", 500, by="n1"),
+                *attempt(10, "j", "a", balancer="n1"),
+                *attempt(100, "j", "b", 500, balancer="n1"),
             ],
             1,
         ),
@@ -135,12 +140,12 @@
     entries = [(0.0, EventKind.STATE, {"server": "a", "detail": "cold"})]
     for n in range(20):
         entries += attempt(100.0 + n * gap, f"j{n}", "a")
-    wrong = checks.cold_servers_not_flooded(trace_of(*entries), {"a": 10.0}, 0.1, 20_000.0)
-    assert (not wrong) == kept
+    breaches = checks.cold_servers_not_flooded(trace_of(*entries), {"a": 10.0}, 0.1, 20_000.0)
+    assert (not breaches) == kept
 
 
 @pytest.mark.parametrize(
-    "told",
+    "script",
     [
         [],
         {"seconds": "x"},
@@ -154,9 +159,9 @@
         {"events": [{"at": 1, "balancer": 1, "do": "sing"}]},
     ],
 )
-def test_a_script_that_cannot_be_played_is_refused(told: Any) -> None:
+def test_a_script_that_cannot_be_played_is_refused(script: Any) -> None:
     with pytest.raises(BadScript):
-        read_script(told)
+        read_script(script)
 
 
 def test_the_registry_answers_with_the_changes_or_with_all() -> None:
@@ -164,15 +169,15 @@
     registry.put("a", addr="h:1")
     registry.put("b", addr="h:2")
     registry.put("a", state="left")
-    assert [e["id"] for e in registry.answer(None)["servers"]] == ["b"]
-    assert [(e["id"], e["state"]) for e in registry.answer(2)["servers"]] == [("a", "left")]
+    assert [entry["id"] for entry in registry.answer(None)["servers"]] == ["b"]
+    assert [(entry["id"], entry["state"]) for entry in registry.answer(2)["servers"]] == [("a", "left")]
     assert registry.answer(3) == {"version": 3, "full": False, "servers": []}
     assert registry.answer(9)["full"]
 
 
 @pytest.mark.anyio
 async def test_a_list_written_to_a_caller_that_has_gone_is_not_recorded() -> None:
-    """A balancer that had ended 0.4 s before, and so its successor, was held to what its open watch got."""
+    """A list written to the open watch of an ended process counted as listed to its successor."""
     clock = Clock()
     trace = Trace(clock.now)
     async with anyio.create_task_group() as tasks:
@@ -180,45 +185,42 @@
         discovery.registry.put("a")
         discovery.set_mode("sound")
         port = int(discovery.address.rpartition(":")[2])
-        finished, broken, there = [await anyio.connect_tcp(HOST, port) for _ in range(3)]
-        for watch in (finished, broken, there):
+        closed, broken, connected = [await anyio.connect_tcp(HOST, port) for _ in range(3)]
+        for watch in (closed, broken, connected):
             await watch.send(b"GET /v1/servers?index=1&wait=20000 HTTP/1.1\r\n\r\n")
         while discovery.call_count < 3:
             await anyio.sleep(0)
-        await finished.aclose()
+        await closed.aclose()
         await reset(broken)
         await anyio.wait_all_tasks_blocked()
         discovery.put("a", state="leaving")
-        assert b"leaving" in await there.receive()
+        assert b"leaving" in await connected.receive()
         await anyio.wait_all_tasks_blocked()
-        assert [entry.detail for entry in trace.of(EventKind.LISTED)] == ["leaving"]
+        assert [event.detail for event in trace.of(EventKind.LISTED)] == ["leaving"]
         tasks.cancel_scope.cancel()
 
 
-async def open_connection(server: LineServer, job: str) -> LineStream:
-    """A connection of its own that stands at a server, as a balancer makes it."""
+async def open_connection(server: LineServer, request_id: str) -> LineStream:
+    """An established connection to a server, opened as a balancer does."""
     host, _, port = server.address.rpartition(":")
     lines = LineStream(await anyio.connect_tcp(host, int(port)))
-    await lines.send_line(b"OPEN " + job.encode() + b" 7f3a c=a")
+    await lines.send_line(b"OPEN " + request_id.encode() + b" 7f3a c=a")
     assert (await lines.next()).startswith(b"UP ")
     return lines
 
 
 @pytest.mark.anyio
 async def test_a_server_says_of_each_connection_that_it_breaks_it_itself() -> None:
-    """The soak's seed 9004: a balancer was blamed for connections of a server that turned sound meanwhile.
+    """A reset by a server that had left the state `dropping` since its UP was blamed on the balancer.
 
-    The story turned gw-5 from `dropping` to `sound` at 5.08 s. It had answered UP just before, and reset the
-    connection 50 ms after that (the balancer's log: `result=reset established_ms=57`), as a sound server; the
-    checker went by the state of that moment. Kept in four plays of five, for it takes an UP in these 50 ms.
-    A connection that its balancer cuts meanwhile is none of the server's.
+    A connection that the balancer cuts meanwhile is still a breach.
     """
     clock = Clock()
     trace = Trace(clock.now)
     async with anyio.create_task_group() as tasks:
         server = LineServer("gw-5", ServerProfile(), clock, trace, random.Random(1), tasks)
         server.start()
-        standing = await open_connection(server, "crashed")
+        established = await open_connection(server, "crashed")
         server.set_state("dropping")
         cut = await open_connection(server, "cut")
         await cut.stream.aclose()
@@ -226,19 +228,16 @@
         server.set_state("sound")
         assert await dropped.next() == LineStream.RST
         await server.crash()
-        assert await standing.next() == LineStream.RST
-        for job in ("cut", "dropped", "crashed"):
-            trace.add(EventKind.CUT_OFF, request_id=job, server="gw-5")
+        assert await established.next() == LineStream.RST
+        for request_id in ("cut", "dropped", "crashed"):
+            trace.add(EventKind.CUT_OFF, request_id=request_id, server="gw-5")
         tasks.cancel_scope.cancel()
     assert checks.moves_announced(trace) == ["cut: cut without MOVE, gw-5 had not broken it"]
 
 
 @pytest.mark.anyio
 async def test_a_server_that_crashes_with_its_up_on_the_way_says_so(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The soak's seed 421 beside load: UP was out, but its connection stood only a turn of the loop later.
-
-    gw-5 crashed in that turn; the balancer logs `up`, and 219 ms later `result=reset`: it was late itself.
-    """
+    """A server that crashed between writing UP and counting the connection did not record its reset."""
     clock = Clock()
     trace = Trace(clock.now)
     async with anyio.create_task_group() as tasks:
@@ -247,10 +246,10 @@
         send_line = LineStream.send_line
 
         async def crashing(lines: LineStream, line: bytes) -> bool:
-            said = await send_line(lines, line)
+            written = await send_line(lines, line)
             if line.startswith(b"UP "):
                 await server.crash()
-            return said
+            return written
 
         monkeypatch.setattr(LineStream, "send_line", crashing)
         lines = await open_connection(server, "j")
@@ -261,25 +260,25 @@
 
 
 def test_a_reserved_port_is_given_to_no_other_play_and_can_be_listened_at() -> None:
-    """The soak's seed 546 beside three others was not played: another play had drawn n4's port as well."""
+    """Two runs on one host drew the same port for a balancer before either listened on it."""
     with reserve_port() as held:
         address = held.getsockname()
         with socket.socket() as other, pytest.raises(OSError, match="in use"):
             other.bind(address)
         with socket.socket() as early, pytest.raises(ConnectionRefusedError):
             early.connect(address)
-        for _ in range(2):  # a process that is started again listens anew
+        for _ in range(2):  # a restarted process listens again
             with socket.create_server(address):
                 socket.create_connection(address).close()
 
 
 def test_a_play_of_seconds_keeps_the_rules(tmp_path: Path) -> None:
-    """The demo's fleet with a balancer that is killed and comes back, shortened."""
+    """The demo's fleet, shortened, with a balancer that is killed and restarted."""
     script = read_script(SCRIPT)
     script.seconds, script.rate = 3.0, 30.0
-    told = {"servers": {"gw": {"count": 4}}, "events": [{"at": 1.0, "balancer": 1, "do": "restart"}]}
+    restart = {"servers": {"gw": {"count": 4}}, "events": [{"at": 1.0, "balancer": 1, "do": "restart"}]}
     script.events = [
-        *read_script(told).events,
+        *read_script(restart).events,
         *(event for event in script.events if event.at <= 2_000.0),
     ]
     trace = anyio.run(Play(script, tmp_path).run)
