--- a/benchmarks/fleet/__main__.py
+++ b/benchmarks/fleet/__main__.py
@@ -32,8 +32,8 @@
         (replacement,) = restarted([Server(f"new-{old.id}")], fleet.now)
         new.append(replacement)
         fleet.arrive(2, 1_000.0, groups)
-        fleet.tell([replacement], 300.0)
-        fleet.tell(removed([old]), 300.0)
+        fleet.announce([replacement], 300.0)
+        fleet.announce(removed([old]), 300.0)
         fleet.arrive(fleet.fail_servers({old.id}), step, groups)
     return new
 
@@ -44,12 +44,12 @@
     lost_connections = fleet.fail_servers({server.id for server in lost})
     fleet.arrive(lost_connections, 1_500.0, groups)
     fleet.arrive(20, 1_500.0, groups)
-    fleet.tell(removed(lost), 500.0)
+    fleet.announce(removed(lost), 500.0)
     fleet.arrive(20, 2_500.0, groups)
     fleet.dead.clear()
     restarted_servers = restarted(lost, fleet.now)
     fleet.arrive(5, 800.0, groups)
-    fleet.tell(restarted_servers, 500.0)
+    fleet.announce(restarted_servers, 500.0)
     fleet.arrive(100, 10_000.0, groups)
     return restarted_servers
 
@@ -58,11 +58,11 @@
     """Restart 70 % of the balancers at once, with two new servers; clients reconnect within 1.5 s."""
     new = restarted([Server("new-1"), Server("new-2")], fleet.now)
     fleet.arrive(5, 2_000.0, groups)
-    fleet.tell(new, 500.0)
-    before = len(fleet.standing)
+    fleet.announce(new, 500.0)
+    before = len(fleet.connections)
     for balancer in range(int(0.7 * len(fleet.balancers))):
         fleet.restart(balancer, fleet.servers)
-    lost_connections = before - len(fleet.standing)
+    lost_connections = before - len(fleet.connections)
     for balancer in range(int(0.7 * len(fleet.balancers))):
         fleet.handle(balancer, ServerList(ListKind.REPLACE, [*fleet.servers, *new]))
     fleet.arrive(lost_connections, 1_500.0, groups)
@@ -80,34 +80,34 @@
 ) -> dict[str, float]:
     fleet = Fleet(servers, balancers, seed, on_request=True)
     fleet.arrive(clients, 10_000.0, groups)
-    fleet.sends.clear()
+    fleet.placements.clear()
     fleet.attempts = 0
-    fleet.cpu, fleet.events = 0.0, 0
+    fleet.cpu_seconds, fleet.event_count = 0.0, 0
     cold = story(fleet, groups)
     budget_use = 0.0
     for server in cold:
-        for at in [at for at, _, to in fleet.sends if to == server.id]:
+        for at in [at for at, _, to in fleet.placements if to == server.id]:
             warmth = min(
                 1.0,
                 COLD_CAPACITY_FRACTION + (1.0 - COLD_CAPACITY_FRACTION) * (at - server.started) / WARM_UP_MS,
             )
-            sent = sum(at - 1_000.0 < other <= at for other, _, to in fleet.sends if to == server.id)
+            sent = sum(at - 1_000.0 < other <= at for other, _, to in fleet.placements if to == server.id)
             budget_use = max(
                 budget_use,
                 sent / (BUDGET_MULTIPLE * SIMULATED_WARM_CAPACITY / QUOTA_FRACTION * warmth / 23.0),
             )
-    held = fleet.held()
+    held = fleet.connections_by_server()
     up = [server.id for server in fleet.servers if server.id in held]
     return {
         "fill": budget_use,
         "cold_held": statistics.mean(held[server.id] for server in cold),
         "spread": max(held[server_id] for server_id in up)
         / statistics.mean(held[server_id] for server_id in up),
-        "pairs": fleet.pairs() / groups,
-        "attempts": fleet.attempts / max(1, len(fleet.sends)),
-        "refused": fleet.refused / max(1, fleet.refused + len(fleet.sends)),
-        "calls": float(fleet.call_peak()),
-        "us": 1e6 * fleet.cpu / max(1, fleet.events),
+        "pairs": fleet.server_group_pairs() / groups,
+        "attempts": fleet.attempts / max(1, len(fleet.placements)),
+        "refused": fleet.refused / max(1, fleet.refused + len(fleet.placements)),
+        "calls": float(fleet.peak_list_requests()),
+        "us": 1e6 * fleet.cpu_seconds / max(1, fleet.event_count),
     }
 
 
--- a/benchmarks/rebalance/story.py
+++ b/benchmarks/rebalance/story.py
@@ -89,7 +89,7 @@
             async def sample() -> None:
                 while True:
                     await play.clock.sleep(500.0)
-                    samples.append((play.trace.elapsed, [s.standing for s in play.servers.values()]))
+                    samples.append((play.trace.elapsed, [s.open_connections for s in play.servers.values()]))
 
             async def fill() -> None:
                 # Adds arrivals, since the regular ones would take a connection lifetime to fill the fleet.
--- a/benchmarks/scale/control.py
+++ b/benchmarks/scale/control.py
@@ -49,7 +49,9 @@
 def is_healthy(process: BalancerProcess) -> bool:
     """Whether the process listens and has a server list, according to its management address."""
     try:
-        with urllib.request.urlopen(f"http://{HOST}:{process.mgmt}/admin/health", timeout=1.0) as answer:
+        with urllib.request.urlopen(
+            f"http://{HOST}:{process.management_port}/admin/health", timeout=1.0
+        ) as answer:
             return bool(answer.status == 200)
     except (urllib.error.URLError, OSError):
         return False
@@ -61,7 +63,7 @@
     process.start()
     while not await anyio.to_thread.run_sync(is_healthy, process):
         if not process.running:
-            last_line = process.log.read_text(errors="replace").strip().splitlines()[-1:]
+            last_line = process.log_path.read_text(errors="replace").strip().splitlines()[-1:]
             raise SizeNotReached(f"{process.name}: process exited: {' '.join(last_line)}")
         if time.monotonic() > started_at + READY_TIMEOUT_S:
             raise SizeNotReached(f"{process.name} was not ready within {READY_TIMEOUT_S:g} s")
--- a/benchmarks/size/__main__.py
+++ b/benchmarks/size/__main__.py
@@ -80,7 +80,7 @@
                 discovery_service.registry.put(
                     f"s-{n:04d}", addr=line_servers[n % LISTENERS].address, weight=BALANCERS / servers
                 )
-            discovery_service.become("sound")
+            discovery_service.set_mode("sound")
             settings = platform_settings([kind], BALANCERS, 3)
             settings["customers"] = [{"name": f"m{n}", "share": 1.0 / TENANTS} for n in range(TENANTS)]
             settings["domain"]["tenant_quota_connections"] = [TOTAL_QUOTA / TENANTS] * TENANTS
@@ -89,18 +89,18 @@
             process.start()
             try:
                 await anyio.to_thread.run_sync(process.wait_until_listening)
-                while not process.log.read_text().count("event=discovery"):
+                while not process.log_path.read_text().count("event=discovery"):
                     await clock.sleep(20.0)
                 tasks.start_soon(_change_entries, discovery_service, clock, rng, servers)
                 clients = Clients([kind], rate, lambda: ("n1", process.port), clock, trace, rng, tasks)
                 await clients.run(seconds * 1_000.0)
                 requested = sum(trace.count(EventKind.REQUESTED).values())
                 need = Need(
-                    process.cpu(),
-                    process.peak() / 2**20,
+                    process.cpu_seconds(),
+                    process.peak_resident_bytes() / 2**20,
                     float(len(os.listdir(f"/proc/{process.pid}/fd"))),
                     float(trace.count(EventKind.ATTEMPT).total()),
-                    float(discovery_service.sent),
+                    float(discovery_service.bytes_sent),
                     sum(trace.count(EventKind.UP).values()) / max(1, requested),
                 )
             finally:
--- a/benchmarks/spread/model.py
+++ b/benchmarks/spread/model.py
@@ -44,7 +44,7 @@
                 fleet.leave(connection_id)
                 continue
             fleet.advance(next_sample)
-            held = fleet.held()
+            held = fleet.connections_by_server()
             samples.append(
                 LoadSample(next_sample - started_at, tuple(held[server.id] for server in fleet.servers))
             )
@@ -62,7 +62,7 @@
     found, us = [], []
     for seed in seeds:
         result, fleet = play_crowd(crowd, seed, seconds)
-        us.append(1e6 * fleet.cpu / max(1, fleet.events))
+        us.append(1e6 * fleet.cpu_seconds / max(1, fleet.event_count))
         if result is not None:
             found.append(result)
     return {
--- a/benchmarks/start/story.py
+++ b/benchmarks/start/story.py
@@ -64,11 +64,11 @@
     """Compute the results from a trace; every connection request of a client counts."""
     outcome = Result()
     until = trace.elapsed - SETTLE_MS
-    asked = {entry.job for entry in trace.of(EventKind.REQUESTED) if entry.at <= until}
-    ups = sorted(entry.ms for entry in trace.of(EventKind.UP) if entry.job in asked)
+    asked = {entry.request_id for entry in trace.of(EventKind.REQUESTED) if entry.at <= until}
+    ups = sorted(entry.ms for entry in trace.of(EventKind.UP) if entry.request_id in asked)
     outcome.asked, outcome.up = len(asked), len(ups)
     outcome.in_time = sum(ms <= TARGET_MS for ms in ups)
-    outcome.refused = sum(entry.job in asked for entry in trace.of(EventKind.BUSY))
+    outcome.refused = sum(entry.request_id in asked for entry in trace.of(EventKind.BUSY))
     firsts = [entry.at for entry in trace.of(EventKind.UP)]
     arrivals = [entry.at for entry in trace.of(EventKind.REQUESTED)]
     if firsts:
@@ -80,10 +80,10 @@
     for entry in trace.of(EventKind.ATTEMPT):
         outcome.to_draining += entry.server == DRAINING_SERVER
         if entry.server in SILENT_SERVERS:
-            silent_attempts.setdefault(entry.job, set()).add(entry.server)
+            silent_attempts.setdefault(entry.request_id, set()).add(entry.server)
     outcome.dead_paid_twice = sum(len(servers) > 1 for servers in silent_attempts.values())
     outcome.broken = rule_violations(trace, until)
-    answered = {entry.job for entry in trace.of(*ANSWERS)}
+    answered = {entry.request_id for entry in trace.of(*ANSWERS)}
     outcome.broken += [f"{request_id}: no answer" for request_id in asked - answered]
     return outcome
 
@@ -100,10 +100,10 @@
 def prepare_servers(play: Play) -> None:
     """Make five servers unreachable and one draining."""
     for server_id in REFUSING_SERVERS:
-        play.servers[server_id].become("refusing")
+        play.servers[server_id].set_state("refusing")
     for server_id in SILENT_SERVERS:
-        play.servers[server_id].become("silent")
-    play.servers[DRAINING_SERVER].become("draining")
+        play.servers[server_id].set_state("silent")
+    play.servers[DRAINING_SERVER].set_state("draining")
 
 
 def list_entries(play: Play) -> list[dict[str, object]]:
--- a/puffinford/scale/real_balancers.py
+++ b/puffinford/scale/real_balancers.py
@@ -79,7 +79,7 @@
             for number, balancer in self.balancers.items():
                 while not (balancer.is_listening() and self.read_log(number).applied):
                     if not balancer.running:
-                        raise TimeoutError(f"{balancer.name} has ended, see {balancer.log}")
+                        raise TimeoutError(f"{balancer.name} has ended, see {balancer.log_path}")
                     await anyio.sleep(READY_POLL_INTERVAL_S)
 
     def stop(self) -> None:
@@ -94,7 +94,7 @@
 
     def cpu_s(self) -> float:
         """CPU time summed over all processes."""
-        return sum(balancer.cpu() for balancer in self.balancers.values())
+        return sum(balancer.cpu_seconds() for balancer in self.balancers.values())
 
     def resident_bytes(self) -> int:
         """Resident memory summed over all processes."""
@@ -102,7 +102,7 @@
 
     def read_log(self, number: int) -> BalancerLog:
         """The contents of one balancer's log so far."""
-        return parse_log(self.balancers[number].log)
+        return parse_log(self.balancers[number].log_path)
 
     async def serve_clients(self, begin_ms: float, end_ms: float) -> None:
         """Run the clients that arrive between two times; those still connected then stay until cancelled."""
@@ -163,16 +163,16 @@
 
 def parse_log(path: Path) -> BalancerLog:
     """Read the applied list versions with their times, and the established connections by server."""
-    log = BalancerLog()
+    log_path = BalancerLog()
     if not path.exists():
-        return log
+        return log_path
     for line in path.read_text(errors="replace").splitlines():
         if " event=discovery version=" in line:
             values = _values(line)
-            log.applied.append(VersionTimestamp(int(values["version"]), float(values["t"]) * 1_000.0))
+            log_path.applied.append(VersionTimestamp(int(values["version"]), float(values["t"]) * 1_000.0))
         elif "from=core.exchange" in line and "event=up " in line:
-            log.placed[_values(line)["server"]] += 1
-    return log
+            log_path.placed[_values(line)["server"]] += 1
+    return log_path
 
 
 def _values(line: str) -> dict[str, str]:
@@ -182,6 +182,6 @@
 def count_placements(logs: Sequence[BalancerLog]) -> Counter[str]:
     """Established connections by server, summed over all balancers."""
     total: Counter[str] = Counter()
-    for log in logs:
-        total += log.placed
+    for log_path in logs:
+        total += log_path.placed
     return total
--- a/puffinford/stage/crowds.py
+++ b/puffinford/stage/crowds.py
@@ -10,7 +10,7 @@
 from puffinford.core.clock import Clock
 from puffinford.standins.balancer import BalancerProcess
 from puffinford.standins.clients import Clients
-from puffinford.standins.holding import STATES, send
+from puffinford.standins.holding import HELD_STATES, send
 from puffinford.standins.listeners import HOST, LineStream
 
 BEFORE_KILL_MS = 300.0  # a third of the held requests are written in this time before the kill
@@ -36,9 +36,11 @@
         (kill_at, kill_at + AFTER_KILL_MS),
     ] * each
     for port, channels in fronts:
-        for state in STATES:
+        for state in HELD_STATES:
             for start, end in windows:
-                clients.hold(state, balancer.name, port, rng.uniform(start, end), channels=channels)
+                clients.hold_connection(
+                    state, balancer.name, port, rng.uniform(start, end), channels=channels
+                )
 
 
 class Crowds:
--- a/puffinford/stage/play.py
+++ b/puffinford/stage/play.py
@@ -123,7 +123,7 @@
                 self.discovery.registry.put(
                     ident, addr=server.address, zone=profile.zone, kind=profile.kind, state=state
                 )
-            self.discovery.become(discovery)
+            self.discovery.set_mode(discovery)
             for number in range(1, script.balancers + 1):
                 ports = {
                     f"n{number}>{ident}": port_of(line_server.address)
@@ -176,7 +176,9 @@
         `ports` are the ports at which it lists the servers, by name of the link.
         """
         balancer_name = f"n{number}"
-        view = self.discovery.view(balancer_name, lambda ident: f"{HOST}:{ports[f'{balancer_name}>{ident}']}")
+        view = self.discovery.add_view(
+            balancer_name, lambda ident: f"{HOST}:{ports[f'{balancer_name}>{ident}']}"
+        )
         if not self.script.has_links:
             return view
         name = f"{balancer_name}>{DISCOVERY}"
@@ -200,8 +202,8 @@
             self.trace,
             self.rng,
             tasks,
-            patience=self.script.patience,
-            rests=self.script.rests,
+            extra_wait=self.script.patience,
+            idle_share=self.script.rests,
         )
         await self.clients.run(self.script.seconds * 1_000.0)
         self.trace.serving_ended_at = self.trace.elapsed
@@ -219,7 +221,7 @@
             await self.clock.sleep(PROCESS_CHECK_INTERVAL_MS)
             for balancer in self.balancers:
                 if not balancer.running and balancer.name not in self._stopped:
-                    raise PlayFailed(f"{balancer.name} ended by itself; see {balancer.log}")
+                    raise PlayFailed(f"{balancer.name} ended by itself; see {balancer.log_path}")
             await self.relays.poll_lateness()
 
     async def _measure_lateness(self) -> None:
@@ -261,7 +263,7 @@
     async def carry_out(self, event: Event) -> None:
         """Apply an event to its parties, and schedule its end if it has one."""
         if event.whom == "discovery":
-            self.discovery.become(event.do)
+            self.discovery.set_mode(event.do)
             return
         interval = event.over / len(event.names)
         for number, name in enumerate(event.names if event.over else ()):
@@ -284,9 +286,9 @@
             if whom == "server":
                 await self._apply_to_server(self.servers[name], do)
                 continue
-            self.trace.add(EventKind.FAULT, by=name, detail=do)
+            self.trace.add(EventKind.FAULT, balancer=name, detail=do)
             if whom == "lists":
-                self.discovery.twist(name, do)
+                self.discovery.set_twist(name, do)
             elif whom == "balancers":
                 await self._apply_to_balancer(self.balancers[int(name[1:]) - 1], do)
 
@@ -302,9 +304,9 @@
                 self.discovery.put(server.id, state=do)
             case "draining":
                 self.discovery.put(server.id, state="leaving")
-                server.become("draining")
+                server.set_state("draining")
             case _:
-                server.become(do)
+                server.set_state(do)
 
     def _start(self, balancer: BalancerProcess) -> None:
         balancer.start()
@@ -365,7 +367,7 @@
         while balancer.running and self.clock.now() < kill_at:
             await self.clock.sleep(POLL_INTERVAL_MS)
         if balancer.running:
-            self.trace.add(EventKind.FAULT, by=balancer.name, detail=KILLED)
+            self.trace.add(EventKind.FAULT, balancer=balancer.name, detail=KILLED)
         balancer.signal(signal.SIGKILL)
         balancer.write_settings(balancer.settings)
         self._start(balancer)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -136,7 +136,7 @@
     async with harness() as here:
         clock = Clock()
         discovery = Discovery(clock, Trace(clock.now), here.tasks)
-        discovery.become(discovery_mode)
+        discovery.set_mode(discovery_mode)
         servers = [f"s-{n}" for n in range(1, server_count + len(custom_servers) + 1)]
         scripts = [
             *(_echo_server(server_id, openings) for server_id in servers[:server_count]),
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -215,7 +215,7 @@
     counts: dict[str, int] = {}
     for entry in trace.of(EventKind.ATTEMPT):
         if entry.server == server and since <= entry.at < until:
-            counts[entry.by] = counts.get(entry.by, 0) + 1
+            counts[entry.balancer] = counts.get(entry.balancer, 0) + 1
     return counts
 
 
@@ -239,7 +239,9 @@
     assert len(affected) == 2
     for name in affected:
         first = next(
-            e for e in trace.of(EventKind.ATTEMPT) if e.by == name and e.server == "gw-1" and e.at > began
+            e
+            for e in trace.of(EventKind.ATTEMPT)
+            if e.balancer == name and e.server == "gw-1" and e.at > began
         )
         timed_out_at = (
             next(e.at for e in trace.of(EventKind.ATTEMPT_END) if e.detail == first.detail)
@@ -270,7 +272,9 @@
     (frozen,) = next(event.names for event in play.script.events if event.do == "freeze")
     woken = fault_time(trace, "wake")
     listed_at = [
-        entry.at for entry in trace.of(EventKind.LISTED) if entry.by == frozen and entry.detail == "leaving"
+        entry.at
+        for entry in trace.of(EventKind.LISTED)
+        if entry.balancer == frozen and entry.detail == "leaving"
     ]
     assert listed_at and min(listed_at) < woken - 3_000.0, "answers count from when they are written"
     assert [violation for violation in rule_violations(trace) if "no answer" not in violation] == []
@@ -324,7 +328,7 @@
     lost = [entry.at for entry in trace.of(EventKind.LOST) if began <= entry.at < trace.serving_ended_at]
     assert rule_violations(trace) == [] and all(when < began + 250.0 for when in lost)
     assert count_refusals(trace, began) - count_refusals(trace, woken) == 0
-    served_after = {entry.job for entry in trace.of(EventKind.UP) if entry.at > woken + 1_500.0}
+    served_after = {entry.request_id for entry in trace.of(EventKind.UP) if entry.at > woken + 1_500.0}
     assert len(served_after) >= 30 and len(list(trace.of(EventKind.CUT_OFF))) >= 4
 
 
@@ -334,7 +338,7 @@
     _, trace = run_play(tmp_path, script_with(6.0, [delay]))
     assert rule_violations(trace) == []
     began, ended = fault_time(trace, "delay 300"), fault_time(trace, "sound")
-    requests = [entry.job for entry in trace.of(EventKind.ATTEMPT) if began <= entry.at < ended]
+    requests = [entry.request_id for entry in trace.of(EventKind.ATTEMPT) if began <= entry.at < ended]
     assert len(requests) == len(set(requests)) >= 60, "one attempt per request"
     ups = [entry.ms for entry in trace.of(EventKind.UP) if began + 700.0 <= entry.at < ended]
     assert sum(ms >= 600.0 for ms in ups) >= 10 <= sum(ms < 300.0 for ms in ups)
@@ -345,10 +349,10 @@
     """A balancer that got the list late is not at fault; one that goes on sending is."""
     times = iter([0.0, 0.0, 500.0, 3_400.0, 3_600.0])
     trace = Trace(lambda: next(times))
-    trace.add(EventKind.LISTED, server="a", detail="leaving", by="n1")
-    trace.add(EventKind.LISTED, server="a", detail="leaving", by="n2")
-    trace.add(EventKind.ATTEMPT, job="late", server="a", by="n1", detail="1")
-    trace.add(EventKind.ATTEMPT, job="later", server="a", by="n2", detail="2")
+    trace.add(EventKind.LISTED, server="a", detail="leaving", balancer="n1")
+    trace.add(EventKind.LISTED, server="a", detail="leaving", balancer="n2")
+    trace.add(EventKind.ATTEMPT, request_id="late", server="a", balancer="n1", detail="1")
+    trace.add(EventKind.ATTEMPT, request_id="later", server="a", balancer="n2", detail="2")
     assert [violation.partition(":")[0] for violation in checks.draining_servers_spared(trace)] == [
         "late",
         "later",
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -317,7 +317,7 @@
         for registry in (discovery.registry, list_service.registry):
             registry.put("a", addr="127.0.0.1:1")
             registry.put("b", addr="127.0.0.1:2", state="leaving")
-        discovery.become("sound")
+        discovery.set_mode("sound")
         addresses = await list_service.open(["all"])
         for path in paths:
             assert await fetch(addresses["all"], path) == await fetch(discovery.address, path)
@@ -344,7 +344,7 @@
         assert not answers
         list_service.put("b", addr="127.0.0.1:2")
     assert answers.total() == 20 and len(answers) == 1
-    assert list_service.queue_most == 20, "all calls were queued"
+    assert list_service.max_queue_length == 20, "all calls were queued"
     list_service.close()
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -104,12 +104,16 @@
 ) -> None:
     """While idle clients fill the descriptors, a balancer may close new connections unread, but no others."""
     trace = trace_of(
-        (0.0, EventKind.FAULT, {"by": "n1", "detail": "crowd 400"}),
-        (at, EventKind.REQUESTED, {"job": "a", "cls": "class-0", "by": "n1", "detail": connection}),
-        (at + 9.0, EventKind.LOST, {"job": "a", "cls": "class-0", "ms": 9.0, "detail": "RST"}),
+        (0.0, EventKind.FAULT, {"balancer": "n1", "detail": "crowd 400"}),
+        (
+            at,
+            EventKind.REQUESTED,
+            {"request_id": "a", "cls": "class-0", "balancer": "n1", "detail": connection},
+        ),
+        (at + 9.0, EventKind.LOST, {"request_id": "a", "cls": "class-0", "ms": 9.0, "detail": "RST"}),
     )
     if at > 1_000.0:
-        trace.entries.insert(1, replace(trace.entries[0], at=1_000.0, detail="wake"))
+        trace.events.insert(1, replace(trace.events[0], at=1_000.0, detail="wake"))
     assert bool(unanswered_requests(trace, generate_script(11, MAX_BALANCERS), 0.0)) is violated
 
 
@@ -126,23 +130,23 @@
 )
 def test_a_doubled_effect_is_found(cls: str, again: float, violated: bool) -> None:
     trace = trace_of(
-        (0.0, EventKind.REQUESTED, {"job": "a", "cls": cls}),
-        (1.0, EventKind.EXECUTED, {"job": "a", "server": "s"}),
-        (1.0 + again, EventKind.EXECUTED, {"job": "a", "server": "t"}),
+        (0.0, EventKind.REQUESTED, {"request_id": "a", "cls": cls}),
+        (1.0, EventKind.EXECUTED, {"request_id": "a", "server": "s"}),
+        (1.0 + again, EventKind.EXECUTED, {"request_id": "a", "server": "t"}),
     )
     assert bool(checks.effects_not_repeated(trace, EFFECTS_BY_CLASS)) is violated
 
 
 def test_a_refusal_of_what_may_have_run_is_found() -> None:
     events = [
-        (0.0, EventKind.REQUESTED, {"job": "a", "cls": "once"}),
-        (1.0, EventKind.EXECUTED, {"job": "a"}),
+        (0.0, EventKind.REQUESTED, {"request_id": "a", "cls": "once"}),
+        (1.0, EventKind.EXECUTED, {"request_id": "a"}),
     ]
     assert checks.effects_not_repeated(
-        trace_of(*events, (2.0, EventKind.BUSY, {"job": "a"})), EFFECTS_BY_CLASS
+        trace_of(*events, (2.0, EventKind.BUSY, {"request_id": "a"})), EFFECTS_BY_CLASS
     )
     assert not checks.effects_not_repeated(
-        trace_of(*events, (2.0, EventKind.FAILED, {"job": "a"})), EFFECTS_BY_CLASS
+        trace_of(*events, (2.0, EventKind.FAILED, {"request_id": "a"})), EFFECTS_BY_CLASS
     )
 
 
@@ -150,10 +154,11 @@
 def test_a_flooded_cold_server_is_found(number: int, violated: bool) -> None:
     """Slow start allows 6.1 connections, with tolerance, in the first second of a server with capacity 40."""
     openings = [
-        (10.0 * n, EventKind.ATTEMPT, {"job": f"a{n}", "server": "s", "by": "n1"}) for n in range(number)
+        (10.0 * n, EventKind.ATTEMPT, {"request_id": f"a{n}", "server": "s", "balancer": "n1"})
+        for n in range(number)
     ]
     start = (0.0, EventKind.STATE, {"server": "s", "detail": "cold"})
-    listed = (0.0, EventKind.LISTED, {"server": "s", "by": "n1", "ms": 5.0})
+    listed = (0.0, EventKind.LISTED, {"server": "s", "balancer": "n1", "ms": 5.0})
     assert bool(checks.slow_start_kept(trace_of(start, listed, *openings), {"s": 40.0})) is violated
     assert not checks.slow_start_kept(trace_of(start, *openings), {"s": 40.0}), (
         "no balancer had it in its list"
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -46,7 +46,7 @@
         for server in self.servers:
             server.start()
             self.discovery.registry.put(server.id, addr=server.address)
-        self.discovery.become("sound")
+        self.discovery.set_mode("sound")
         self.write_config(self.discovery.address)
 
     def write_config(self, discovery: str, **more: Any) -> None:
@@ -84,13 +84,13 @@
                     break
                 await anyio.sleep(0.01)
             first.process.kill()
-        site.discovery.become("absent")
+        site.discovery.set_mode("absent")
         async with site.program() as second:
             await wait_for_logs(second, b"event=restored source=store entries=2 .*at_once=any")
             port = await second.port(b"lines")
             for n in range(6):
                 assert (await site.client(port, f"0{n}")).startswith(b"UP r-s-0-")
-            site.discovery.become("sound")
+            site.discovery.set_mode("sound")
             await wait_for_logs(second, b"event=discovery version=5")
             second.process.kill()
 
@@ -102,12 +102,12 @@
         async with site.program() as running:
             port = await running.port(b"lines")
             await wait_for_logs(running, b"list=replace")
-            site.discovery.become(mode)
+            site.discovery.set_mode(mode)
             if mode != "hung":
                 await wait_for_logs(running, b'event="discovery failed"')
             assert (await site.client(port, "0a")).startswith(b"UP")
             site.discovery.put("s-1", state="leaving")
-            site.discovery.become("sound")
+            site.discovery.set_mode("sound")
             await wait_for_logs(running, b"server=s-1 state=draining")
             for n in range(4):
                 assert (await site.client(port, f"1{n}")).startswith(b"UP r-s-0-")
@@ -121,7 +121,7 @@
             await wait_for_logs(first, b"list=replace")
             first.process.send_signal(signal.SIGINT)
             await first.process.wait()
-        site.discovery.become("older")
+        site.discovery.set_mode("older")
         async with site.program() as second:
             await wait_for_logs(second, b"source=store", b'event="discovery suspect" why="version 1 after 2"')
             await wait_for_logs(second, b"event=discovery version=1", b"list=replace")
@@ -136,7 +136,7 @@
             await wait_for_logs(first, b"list=replace")
             first.process.send_signal(signal.SIGINT)
             await first.process.wait()
-        site.discovery.become("absent")
+        site.discovery.set_mode("absent")
         (tmp_path / "other").mkdir()
         other = Site(here.tasks, tmp_path / "other", 0)
         fresh = LineServer(
@@ -168,7 +168,7 @@
         site.write_config(site.discovery.address, listen=f"127.0.0.1:{port}")
         env = {"TMPDIR": str(tmp_path / "tmp"), "EDGE_SOCKET_FD": str(fd), "EDGE_MGMT": "127.0.0.1:0"}
         async with program(site.config, fds=[fd], **env) as old:
-            site.servers[1].become("resetting")
+            site.servers[1].set_state("resetting")
             await wait_for_logs(old, b"list=replace")
             request_id = 0
             while b"result=reset" not in old._log:
