--- a/benchmarks/scale/list_service.py
+++ b/benchmarks/scale/list_service.py
@@ -33,7 +33,7 @@
 class NullTrace(Trace):
     """Discards all entries, since tracing them would dominate the measured cost."""
 
-    def add(self, what: EventKind, **more: object) -> None:
+    def add(self, kind: EventKind, **more: object) -> None:
         pass
 
 
@@ -75,25 +75,27 @@
         self._resets = 0
         self._service_ms = service_ms
 
-    async def _play(self, stream: SocketStream, by: str = "", where: Any = None) -> None:
+    async def _handle_call(self, stream: SocketStream, balancer: str = "", address_of: Any = None) -> None:
         resets = self._resets
         self.open_calls += 1
         try:
-            await super()._play(cast(SocketStream, CountedStream(stream, self.traffic)), by, where)
+            await super()._handle_call(
+                cast(SocketStream, CountedStream(stream, self.traffic)), balancer, address_of
+            )
         finally:
             # Prevents a call that a reset has already removed from being subtracted twice.
             if resets == self._resets:
                 self.open_calls -= 1
 
-    async def _answer(self, stream: SocketStream, index: int | None, by: str, where: Any) -> None:
+    async def _answer(self, stream: SocketStream, index: int | None, balancer: str, address_of: Any) -> None:
         await self._clock.sleep(self._service_ms)
-        await super()._answer(stream, index, by, where)
+        await super()._answer(stream, index, balancer, address_of)
 
     async def break_all(self) -> None:
         """Reset all open connections."""
         self._resets += 1
         self.open_calls = 0
-        await self._port.break_all()
+        await self._port.reset_all()
 
 
 def unreachable_address(number: int) -> str:
@@ -113,7 +115,7 @@
         for number, name in enumerate(self._names):
             address = addresses[number] if addresses else unreachable_address(number)
             discovery.registry.put(name, addr=address, zone=f"z{number % 26}")
-        discovery.become("sound")
+        discovery.set_mode("sound")
 
     def change(self) -> int:
         """Toggle one server between active and leaving; return the version of the list with this change."""
@@ -136,7 +138,7 @@
         match words:
             case ["figures"]:
                 traffic = self.discovery.traffic
-                return {"calls": self.discovery.calls, "bytes": traffic.received + traffic.sent}
+                return {"calls": self.discovery.call_count, "bytes": traffic.received + traffic.sent}
             case ["change"]:
                 return {"version": self.change(), "at": time.monotonic()}
             case ["break"]:
--- a/puffinford/scale/list_service_process.py
+++ b/puffinford/scale/list_service_process.py
@@ -78,7 +78,7 @@
 
     async def _reset_watches(self, command: ResetWatches) -> None:
         await _sleep_until(command.at)
-        self._service.break_all()
+        self._service.reset_all()
 
     async def _take_down(self, command: Outage) -> None:
         await _sleep_until(command.at)
@@ -99,14 +99,14 @@
 
     def _tally(self) -> ListTally:
         groups = {
-            name: GroupTally(counts.calls, counts.received, counts.sent)
+            name: GroupTally(counts.calls, counts.bytes_received, counts.bytes_sent)
             for name, counts in self._service.counts.items()
         }
         return ListTally(
             groups=groups,
             calls_by_second=dict(self._service.calls_by_second),
-            queue_most=self._service.queue_most,
-            broken=self._service.broken,
+            queue_most=self._service.max_queue_length,
+            broken=self._service.reset_count,
             cpu_s=time.process_time(),
         )
 
--- a/puffinford/stage/links.py
+++ b/puffinford/stage/links.py
@@ -54,7 +54,7 @@
         self._changed.set()
         self._changed = anyio.Event()
         if fault.kind == "rst":
-            await self._listener.break_all()
+            await self._listener.reset_all()
         elif fault.kind == "fin":
             for stream in list(self._listener.streams):
                 with contextlib.suppress(anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
--- a/puffinford/stage/report.py
+++ b/puffinford/stage/report.py
@@ -74,7 +74,7 @@
             merged.setdefault((do, round(started_at / 100.0), round(at / 100.0)), []).append(name)
 
     for entry in trace.of(EventKind.FAULT, EventKind.STATE):
-        name = entry.by or entry.server
+        name = entry.balancer or entry.server
         end(name, entry.at)
         if entry.detail not in ("sound", "wake", "plain", "reload") and entry.at >= trace.serving_started_at:
             active[name] = (entry.detail, entry.at)
@@ -160,7 +160,7 @@
         """Return the servers that had no connection while others did, although they were sound and listed."""
         usable: dict[str, float] = dict.fromkeys(self.servers, self.trace.serving_started_at)
         for entry in self.trace.of(EventKind.STATE, EventKind.LISTED):
-            usable_states = (*SERVING_STATES, "active") if entry.what is EventKind.STATE else ("active",)
+            usable_states = (*SERVING_STATES, "active") if entry.kind is EventKind.STATE else ("active",)
             if entry.detail not in usable_states:
                 usable.pop(entry.server, None)
         return idle_servers(self.samples, self.servers, usable)
--- a/puffinford/stage/script.py
+++ b/puffinford/stage/script.py
@@ -51,8 +51,8 @@
 from puffinford.stage.faults import InvalidFault, read_fault, read_process_fault, select_parties
 from puffinford.standins.balancer import DEFAULT_SOCKETS
 from puffinford.standins.clients import ClientClass
-from puffinford.standins.discovery import MODES, parse_twist
-from puffinford.standins.servers import STATES, ServerProfile
+from puffinford.standins.discovery import DISCOVERY_MODES, parse_twist
+from puffinford.standins.servers import SERVER_STATES, ServerProfile
 
 CLIENTS = "clients"  # name of the clients as a party of links
 DISCOVERY = "discovery"  # name of discovery as a party of links
@@ -71,7 +71,7 @@
 }
 EVENT_KEYS = {"at", "whom", "do", "for", "part", "over"}
 EVENT_TARGETS = ("discovery", "server", "servers", "balancer", "balancers", "links", "lists")
-SERVER_ACTIONS = (*STATES, "crash", "start", "start cold", "leaving", "left")
+SERVER_ACTIONS = (*SERVER_STATES, "crash", "start", "start cold", "leaving", "left")
 
 
 class InvalidScript(Exception):
@@ -256,8 +256,8 @@
     try:
         match targets[0]:
             case "discovery":
-                if pattern not in MODES:
-                    raise InvalidFault(f"discovery {pattern!r} is none of {' '.join(MODES)}")
+                if pattern not in DISCOVERY_MODES:
+                    raise InvalidFault(f"discovery {pattern!r} is none of {' '.join(DISCOVERY_MODES)}")
                 do = pattern
             case "server" | "servers":
                 if do not in SERVER_ACTIONS:
--- a/puffinford/stage/soak.py
+++ b/puffinford/stage/soak.py
@@ -162,21 +162,21 @@
     filled the descriptors of the balancer.
     """
     deadlines = {kind.name: kind.give_up for kind in script.kinds}
-    requests = {entry.job: entry for entry in trace.of(EventKind.REQUESTED)}
+    requests = {entry.request_id: entry for entry in trace.of(EventKind.REQUESTED)}
     crowded = _crowd_times(trace)
 
     def excused(entry: TraceEvent) -> bool:
-        request = requests[entry.job]
-        if not request.by or entry.detail == "REFUSED":
+        request = requests[entry.request_id]
+        if not request.balancer or entry.detail == "REFUSED":
             return True
         if not entry.detail:
             return lateness_ms >= MAX_LATENESS_MS and entry.ms >= deadlines[entry.cls]
         return not request.detail and any(
-            start <= request.at and entry.at <= end for start, end in crowded.get(request.by, ())
+            start <= request.at and entry.at <= end for start, end in crowded.get(request.balancer, ())
         )
 
     return [
-        _describe(trace, entry, requests[entry.job])
+        _describe(trace, entry, requests[entry.request_id])
         for entry in trace.of(EventKind.LOST)
         if not excused(entry)
     ]
@@ -185,10 +185,12 @@
 def _describe(trace: Trace, lost: TraceEvent, request: TraceEvent) -> str:
     """Describe a lost request: its connection, and when its balancer was killed, if it was."""
     reason = lost.detail or "out of time"
-    text = f"{lost.job}: lost after {lost.ms:.0f} ms, {reason}, by {request.by}"
+    text = f"{lost.request_id}: lost after {lost.ms:.0f} ms, {reason}, by {request.balancer}"
     text += f" on a {request.detail or 'new'} connection"
     killed_at = [
-        entry.at for entry in trace.of(EventKind.FAULT) if entry.by == request.by and entry.detail == KILLED
+        entry.at
+        for entry in trace.of(EventKind.FAULT)
+        if entry.balancer == request.balancer and entry.detail == KILLED
     ]
     return text + "".join(f", written {at - request.at:.1f} ms before the kill" for at in killed_at)
 
@@ -198,8 +200,8 @@
     spans: dict[str, list[tuple[float, float]]] = {}
     for entry in trace.of(EventKind.FAULT):
         if entry.detail.split(" ")[0] == CROWD_FAULT:
-            spans.setdefault(entry.by, []).append((entry.at, float("inf")))
-        elif entry.detail == FAULT_OVER and entry.by in spans:
-            start, end = spans[entry.by][-1]
-            spans[entry.by][-1] = (start, min(end, entry.at))
+            spans.setdefault(entry.balancer, []).append((entry.at, float("inf")))
+        elif entry.detail == FAULT_OVER and entry.balancer in spans:
+            start, end = spans[entry.balancer][-1]
+            spans[entry.balancer][-1] = (start, min(end, entry.at))
     return spans
--- a/puffinford/stage/spread.py
+++ b/puffinford/stage/spread.py
@@ -44,7 +44,7 @@
 
     for entry in trace.of(EventKind.UP, *CONNECTION_ENDS):
         sample_until(entry.at)
-        open_connections[entry.server] += 1 if entry.what is EventKind.UP else -1
+        open_connections[entry.server] += 1 if entry.kind is EventKind.UP else -1
     sample_until(until)
     return samples
 
@@ -115,14 +115,14 @@
     open_connections: Counter[str] = Counter()
     unavailable: set[str] = set()
     refusals = 0
-    for entry in trace.entries:
-        if entry.what is EventKind.UP:
+    for entry in trace.events:
+        if entry.kind is EventKind.UP:
             open_connections[entry.server] += 1
-        elif entry.what in CONNECTION_ENDS:
+        elif entry.kind in CONNECTION_ENDS:
             open_connections[entry.server] -= 1
-        elif entry.what is EventKind.STATE:
+        elif entry.kind is EventKind.STATE:
             (unavailable.discard if entry.detail in SERVING_STATES else unavailable.add)(entry.server)
-        elif entry.what in (EventKind.BUSY, EventKind.FAILED) and since <= entry.at < until:
+        elif entry.kind in (EventKind.BUSY, EventKind.FAILED) and since <= entry.at < until:
             available = sum(size for server, size in capacity.items() if server not in unavailable)
             refusals += sum(open_connections.values()) < FULL_FRACTION * available
     return refusals
--- a/tests/test_relay_processes.py
+++ b/tests/test_relay_processes.py
@@ -64,7 +64,7 @@
     async def start(self) -> None:
         for server_id in self.servers.openings:
             self.source.registry.put(server_id, addr=await self.servers.start(server_id))
-        self.source.become("sound")
+        self.source.set_mode("sound")
 
     async def start_relay(self, name: str, upstream: int, port: int = 0) -> tuple[Program, int]:
         """Start a relay process. Return it with its port."""
@@ -221,7 +221,7 @@
         old = Discovery(Clock(), Trace(Clock().now), site.tasks)
         for server_id, fields in site.source.registry.entries.items():
             old.registry.put(server_id, addr=fields["addr"])
-        old.become("sound")
+        old.set_mode("sound")
         site.source.registry.version = 50
         upstream = int(site.source.address.partition(":")[2])
         (first, port), (second, other) = [await site.start_relay(f"r{number}", upstream) for number in (1, 2)]
