--- a/benchmarks/capacity/balancer.py
+++ b/benchmarks/capacity/balancer.py
@@ -8,7 +8,7 @@
 from benchmarks.capacity.quantity import Quantity, assumed, derived
 from benchmarks.capacity.roles import Mechanism, QuantityKind, Role, Row, Status
 
-BUSY_CHANGES_PER_S = 1.0  # rate of changes at which control was measured, besides none
+BUSY_CHANGES_PER_S = 1.0  # rate of changes in the rows for a list that changes often
 
 
 def control_core_pct(inputs: Inputs, servers: int, changes_per_s: float) -> Quantity:
@@ -54,7 +54,7 @@
 
 
 def extra_change_time(inputs: Inputs, servers: int, series: str) -> Quantity:
-    """Extra processor time per change, compared with the number of servers that changes were measured at."""
+    """Extra processor time per change over that with the number of servers at which it was measured."""
     measured_servers = inputs.measurements.nearest_input(series, "changes_per_s", "servers", servers)
     return derived(
         "s",
--- a/benchmarks/capacity/delivery.py
+++ b/benchmarks/capacity/delivery.py
@@ -10,12 +10,12 @@
 from benchmarks.capacity.roles import Mechanism, QuantityKind, Role, Row, Status
 
 MILLISECOND_S = 1e-3
-BISECTION_STEPS = 60  # enough to reach the precision of a float
+BISECTION_STEPS = 60  # narrows the interval to the precision of a float
 
 
 @dataclass(frozen=True)
 class Hop:
-    """One hop of the delivery tree. Times are until the last child of a node."""
+    """One hop of the delivery tree. Times are until a sender has served its last child."""
 
     name: str
     nodes: Quantity  # receivers at the end of the hop
@@ -31,6 +31,7 @@
 
 
 def delivery_deadline(inputs: Inputs) -> Quantity:
+    """Time within which the targeted fraction of deliveries has to arrive."""
     return specified(inputs.targets.fleet.delivery_within_ms * MILLISECOND_S, "s")
 
 
@@ -94,6 +95,7 @@
 
 
 def processes_per_zone(inputs: Inputs) -> Quantity:
+    """Number of balancer processes in a zone, rounded up."""
     return derived(
         "processes",
         lambda count, processes, zones: math.ceil(count * processes / zones),
@@ -146,7 +148,7 @@
 
 
 def _zone_hops(inputs: Inputs) -> list[Hop]:
-    """Hops inside a zone: the levels that the fan-out requires, one if the processes are unknown."""
+    """Hops inside a zone, one per level; one in total if processes are unknown or the fan-out is below 2."""
     fan_out = inputs.assumed("tree_fan_out")
     processes = processes_per_zone(inputs)
     if processes.value is None or fan_out.value is None or fan_out.value < 2.0:
--- a/benchmarks/capacity/inputs.py
+++ b/benchmarks/capacity/inputs.py
@@ -1,4 +1,4 @@
-"""Inputs shared by all roles: targets, measurements, and values derived from them in one step."""
+"""Inputs shared by all roles: targets, measurements, and values derived directly from them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Inputs:
-    """One fleet's targets and measurements, with the values derived directly from them."""
+    """The targets and measurements of one fleet, with the values derived directly from them."""
 
     targets: Targets
     measurements: Measurements
@@ -29,6 +29,7 @@
 
     @property
     def server_counts(self) -> list[int]:
+        """The assumed numbers of servers, in ascending order."""
         return self.targets.assumed.server_counts
 
     @cached_property
@@ -38,14 +39,17 @@
 
     @cached_property
     def balancers(self) -> Quantity:
+        """The number of balancers in the fleet."""
         return specified(self.targets.fleet.balancers, "balancers")
 
     @cached_property
     def zones(self) -> Quantity:
+        """The number of zones in the fleet."""
         return specified(self.targets.fleet.zones, "zones")
 
     @cached_property
     def control_machines(self) -> Quantity:
+        """The number of machines dedicated to control."""
         return specified(self.targets.budget.machines, "machines")
 
     @cached_property
@@ -67,22 +71,27 @@
 
     @cached_property
     def change_deadline(self) -> Quantity:
+        """The time until a change has to be in force everywhere."""
         return specified(self.targets.changes.in_force_within_s, "s")
 
     @cached_property
     def largest_burst(self) -> Quantity:
+        """The largest number of simultaneous changes."""
         return specified(max(self.targets.changes.bursts), "changes")
 
     @cached_property
     def core_budget(self) -> Quantity:
+        """The percentage of one core that control may use at a balancer."""
         return specified(self.targets.budget.core_pct, "%")
 
     @cached_property
     def memory_budget(self) -> Quantity:
+        """The memory that control may use at a balancer, in bytes."""
         return specified(self.targets.budget.memory_mb * 1e6, "B")
 
     @cached_property
     def bytes_budget(self) -> Quantity:
+        """The bytes per second that control may send and receive at a balancer."""
         return specified(self.targets.budget.bytes_per_s, "B/s")
 
     @cached_property
@@ -140,7 +149,7 @@
 
     @cached_property
     def cores_per_machine(self) -> Quantity:
-        """Cores per machine."""
+        """The assumed number of cores of a machine."""
         return assumed(self.targets.assumed.machine_cores.value, "cores")
 
     @cached_property
--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -57,7 +57,7 @@
 
 
 def idle_measurement(inputs: Inputs, series: str) -> Quantity:
-    """A series of the list service for all watches without changes, measured without an added delay."""
+    """A series of the list service with a watch for each balancer, no changes and no added delay."""
     return inputs.measurements.at(series, "watchers", inputs.targets.fleet.balancers, service_ms=0.0)
 
 
@@ -188,7 +188,7 @@
     """Load of the remaining relays, evenly distributed."""
 
     title: str
-    relays: Quantity  # that answer balancers
+    relays: Quantity  # relays that answer balancers
     balancers_per_relay: Quantity
     idle_calls: Quantity  # per relay and second, from downstream
     core_pct: Quantity  # per relay, for its idle calls
--- a/benchmarks/capacity/measurements.py
+++ b/benchmarks/capacity/measurements.py
@@ -132,7 +132,7 @@
         return dict(_nearest(curves, {name: wanted})).get(name, wanted) if curves else wanted
 
     def unit_cost(self, series: str, size: float, **near: float) -> Quantity:
-        """The cost per item at a number of `size` items, from a series of costs per item.
+        """The cost per item when there are `size` items, from a series of costs per item.
 
         Outside the measured range the cost at the nearest measured size counts as extrapolated. A series
         without inputs has the same cost at every size.
--- a/benchmarks/capacity/model.py
+++ b/benchmarks/capacity/model.py
@@ -45,7 +45,7 @@
 
     @property
     def ranked_above_first(self) -> list[RankedQuantity]:
-        """The quantities that exceed their budgets by more than the first one to build."""
+        """The quantities ranked above the one whose mechanism is to be built first."""
         first = self.first_to_build
         return self.ranking[: self.ranking.index(first)] if first else []
 
@@ -82,7 +82,7 @@
 
 
 def compute_capacity(targets: Targets, slopes: SlopeResults | None, runs: RunResults | None) -> Capacity:
-    """Compute the capacity of a fleet; None stands for results that do not exist."""
+    """Compute the capacity of a fleet. `slopes` and `runs` are None if no such results exist."""
     inputs = Inputs(targets, Measurements(slopes))
     scale_runs = runs.runs if runs else []
     named_quantities: dict[str, Quantity] = {}
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -146,6 +146,7 @@
 
 
 def format_budget(row: Row) -> str:
+    """Format the budget of a row with its short mark; a dash if there is no budget."""
     return EMPTY_CELL if row.budget is None else row.budget.short
 
 
@@ -302,7 +303,7 @@
 
 
 def run_row(run: ScaleRun, within_s: float) -> tuple[str, ...]:
-    """Cells of one run: size, delay after the change at the source, and whether the run completed."""
+    """Cells of one run: size, delay after a change at the source, and whether the run held its size."""
     hollow, real = run.told_hollow, run.told_real
     missed = hollow.missed + real.missed
     in_time = missed == 0 and max(hollow.p99_s, real.p99_s) <= within_s
--- a/benchmarks/capacity/quantity.py
+++ b/benchmarks/capacity/quantity.py
@@ -8,7 +8,7 @@
 
 NOT_MEASURED = "not measured"
 
-# Scales in which values of a unit are shown, largest first.
+# Scales of each unit, largest first: the smallest value shown in the scale, and its name.
 _SCALES: dict[str, tuple[tuple[float, str], ...]] = {
     "s": ((86_400.0, "days"), (3_600.0, "h"), (120.0, "min"), (1.0, "s"), (1e-3, "ms"), (1e-6, "us")),
     "B": ((1e12, "TB"), (1e9, "GB"), (1e6, "MB"), (1e3, "kB"), (1.0, "B")),
@@ -56,8 +56,9 @@
 class Quantity:
     """A value with its unit and basis.
 
-    Units are `s`, `B`, `B/s`, `/s`, `%` (of one core), `cores`, or a plural noun for a count. `value` is None
-    if the series in `missing` have not been measured. `ranges` are the measured ranges that were exceeded.
+    Units are `s`, `B`, `B/s`, `/s`, `%` (of one core), `cores`, `times` (of a budget), a plural noun for a
+    count, or empty for a plain number. `value` is None if the series in `missing` have not been measured.
+    `ranges` are the measured ranges that were exceeded.
     """
 
     value: float | None
@@ -68,7 +69,7 @@
 
     @property
     def mark(self) -> str:
-        """The basis as shown on the page, with the measured ranges of extrapolated inputs."""
+        """The basis as shown on the page, with the measured ranges that were exceeded."""
         letter = MARKS[self.basis]
         if not self.ranges:
             return letter
@@ -148,7 +149,7 @@
 
 
 def format_number(value: float) -> str:
-    """Format with three significant digits, or as an integer with commas from 1,000 upwards."""
+    """Format with at most three significant digits, or as an integer with commas from 1,000 upwards."""
     if value == 0.0:
         return "0"
     size = abs(value)
--- a/benchmarks/capacity/ranking.py
+++ b/benchmarks/capacity/ranking.py
@@ -1,7 +1,7 @@
 """Ranking of quantities by how far they exceed their budgets with today's mechanisms.
 
-The quantities are computed for the size of the targeted fleet. The first to build is the highest-ranked
-quantity over its budget that this program can reduce with its present protocol.
+The quantities are computed for the size of the targeted fleet. The first mechanism to build is that of the
+highest-ranked quantity over its budget that this program can reduce with its present protocol.
 """
 
 from __future__ import annotations
--- a/benchmarks/capacity/reconnecting.py
+++ b/benchmarks/capacity/reconnecting.py
@@ -17,8 +17,8 @@
     """The loss of several balancers at once, and the load of its clients on the remaining ones."""
 
     name: str
-    clients: Quantity  # that reconnect
-    clients_per_balancer: Quantity  # reconnecting to each remaining balancer
+    clients: Quantity  # clients that reconnect
+    clients_per_balancer: Quantity  # clients that reconnect to each remaining balancer
     connections_held: Quantity  # per remaining balancer, once all have reconnected
     plain_time: Quantity  # until all have reconnected
     encrypted_time: Quantity  # until all have reconnected with a full cryptographic handshake
@@ -78,6 +78,7 @@
 
 
 def admission_time(count: float, rate: float) -> float:
+    """Seconds to admit `count` connections at `rate` per second; infinite if the rate is 0."""
     return count / rate if rate else math.inf
 
 
@@ -96,11 +97,12 @@
 
 
 def zone_loss(inputs: Inputs) -> Loss:
+    """The loss of a zone."""
     return losses(inputs)[1]
 
 
 def herd_rate(lost: Loss) -> Quantity:
-    """Connections per second at one balancer if all clients reconnect at once."""
+    """Connections per second at one remaining balancer if all clients return within `HERD_WINDOW`."""
     return derived("/s", lambda clients, time: clients / time, lost.clients_per_balancer, HERD_WINDOW)
 
 
--- a/benchmarks/capacity/roles.py
+++ b/benchmarks/capacity/roles.py
@@ -30,7 +30,7 @@
 
 
 class Remedy(enum.Enum):
-    """What it takes to bring a quantity that exceeds its budget under it."""
+    """What it takes to bring a quantity within its budget."""
 
     THIS_PROGRAM = "this program, by the protocol it has"
     MORE_PROCESSES = "more processes of it"
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """One quantity of a role, with its budget if it has one."""
+    """One quantity of a role, with its optional budget."""
 
     kind: QuantityKind
     name: str
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True)
 class RankedQuantity:
-    """A quantity with today's mechanism, compared with its budget and with a way to reduce it."""
+    """A quantity under the present mechanism, with its budget and the way to reduce it."""
 
     name: str
     quantity: Quantity
--- a/benchmarks/capacity/shards.py
+++ b/benchmarks/capacity/shards.py
@@ -23,16 +23,17 @@
 
 
 def shard_count(inputs: Inputs) -> Quantity:
+    """Number of shards in the fleet."""
     return specified(inputs.targets.fleet.shards, "shards")
 
 
 def memory_as_servers(inputs: Inputs) -> Quantity:
-    """Memory of a process that keeps every shard as it keeps servers today, in bytes."""
+    """Memory of a process that holds every shard in the way it holds servers, in bytes."""
     return control_memory(inputs, inputs.targets.fleet.shards)
 
 
 def machine_changes_per_s(inputs: Inputs) -> Quantity:
-    """Machines that fail, restart or are replaced, per second."""
+    """Machines that fail or restart, per second."""
     failures = inputs.targets.failures
     return specified((failures.machines_per_day + failures.restarts_per_day) / DAY_S, "/s")
 
@@ -122,11 +123,12 @@
 
 
 def slot_table_bytes(inputs: Inputs) -> Quantity:
+    """Size of the table of slots with their servers, in bytes."""
     return derived("B", lambda count, size: count * size, inputs.assumed("shard_slots"), SERVER_INDEX)
 
 
 def exceptions_bytes(inputs: Inputs) -> Quantity:
-    """Size of the table of shards placed elsewhere than their hash says, in bytes."""
+    """Size of the table of shards that are not placed by their hash, in bytes."""
     return derived(
         "B",
         lambda percent, size: size * percent / PERCENT,
@@ -136,6 +138,7 @@
 
 
 def slot_moves(inputs: Inputs, servers: int) -> Quantity:
+    """Slots that change owner per second if all changing machines are servers that lose their slots."""
     return derived(
         "/s",
         lambda rate, slots: rate * slots / servers,
@@ -157,6 +160,7 @@
 
 
 def byte_rate(rate: Quantity, size: Quantity) -> Quantity:
+    """Bytes per second of messages of one size (bytes), at a rate of messages per second."""
     return derived("B/s", lambda count, size_each: count * size_each, rate, size)
 
 
--- a/benchmarks/capacity/targets.py
+++ b/benchmarks/capacity/targets.py
@@ -39,11 +39,11 @@
 
     per_day: Positive
     in_force_within_s: Positive
-    bursts: Annotated[list[Count], msgspec.Meta(min_length=1)]  # numbers of simultaneous changes
+    bursts: Annotated[list[Count], msgspec.Meta(min_length=1)]  # simultaneous changes in each burst
 
 
 class ControlBudget(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Resource budget for control: per balancer, and the dedicated machines of the fleet."""
+    """Resource budget for control at each balancer, and the number of dedicated machines in the fleet."""
 
     core_pct: Positive  # percent of one core
     memory_mb: Positive
--- a/benchmarks/fleet/__main__.py
+++ b/benchmarks/fleet/__main__.py
@@ -78,6 +78,7 @@
     clients: int,
     groups: int,
 ) -> dict[str, float]:
+    """Simulate one story; return its metrics, with `us` in microseconds of processor time per event."""
     fleet = Fleet(servers, balancers, seed, on_request=True)
     fleet.arrive(clients, 10_000.0, groups)
     fleet.placements.clear()
--- a/benchmarks/rebalance/cost.py
+++ b/benchmarks/rebalance/cost.py
@@ -14,7 +14,7 @@
 
 
 def core_share(connections: int, servers: int, rounds: int = 200) -> float:
-    """Return the share of a core that rounds take while the load is unbalanced and each round moves one."""
+    """Return the fraction of a core that rounds use while each of them moves a connection."""
     balancer = Balancer(Settings([RequestClass("x", 2_000.0)]), 1)
     now = 100_000.0
     servers_listed = [Server(f"s-{n}") for n in range(servers)]
--- a/benchmarks/rebalance/model.py
+++ b/benchmarks/rebalance/model.py
@@ -25,14 +25,14 @@
 class Outcome:
     """The results of a run."""
 
-    balanced_s: float = float("inf")  # from when the maximum stays below 1.2 times the mean load
+    balanced_s: float = float("inf")  # s until the maximum load stays at 1.2 times the mean or less
     moves: int = 0
     fewest_moves: int = 0  # lower bound of moves for the final maximum load
     fill: float = 0.0  # highest ratio of connections per second at a cold server to its budget
     back: int = 0  # moves of a client back to a server that it was moved from
     placed_back: int = 0  # moved clients that reconnected to a server they were moved from
-    decision_us: float = 0.0  # processor time of one round of a balancer
-    ratios: list[tuple[float, float]] = field(default_factory=list)
+    decision_us: float = 0.0  # mean processor time of one round of a balancer
+    ratios: list[tuple[float, float]] = field(default_factory=list)  # (time in s, maximum over mean load)
 
 
 class Model:
--- a/benchmarks/rebalance/story.py
+++ b/benchmarks/rebalance/story.py
@@ -24,18 +24,18 @@
 
 @dataclass
 class Result:
-    """The results of one run. Times are in seconds from the restart."""
+    """The results of one run; `p99_before` and `p99_during` are answer times in ms."""
 
-    balanced_s: float = float("inf")  # from when all loads stay within 0.7 to 1.2 times the mean
+    balanced_s: float = float("inf")  # s after the restart until all loads stay at 0.7 to 1.2 times the mean
     ratio_end: float = float("nan")
-    moves: int = 0
+    moves: int = 0  # after the restart
     least_moves: int = 0  # excess connections at the restart over those at the end
-    cut: int = 0
-    cold: list[str] = field(default_factory=list)
-    broken: list[str] = field(default_factory=list)
-    p99_before: float = float("nan")
-    p99_during: float = float("nan")
-    ratios: list[tuple[float, float]] = field(default_factory=list)
+    cut: int = 0  # connections cut off after the restart
+    cold: list[str] = field(default_factory=list)  # violations of the limit for cold servers
+    broken: list[str] = field(default_factory=list)  # violations of the rules of the stage
+    p99_before: float = float("nan")  # until the crash
+    p99_during: float = float("nan")  # after the restart
+    ratios: list[tuple[float, float]] = field(default_factory=list)  # (s after the restart, imbalance)
 
 
 def script(
--- a/benchmarks/scale/control.py
+++ b/benchmarks/scale/control.py
@@ -97,7 +97,7 @@
     with ExitStack() as stack:
         list_service = stack.enter_context(helper_process("list_service", servers, changes, 0, seed))
         async with start_lock:
-            # Creates the process under the lock: ports chosen earlier could be taken by another process.
+            # Creates the process under the lock, since another process could take a port chosen earlier.
             process = stack.enter_context(balancer_process(list_service.ready, seed))
             seconds = await start_balancer(process)
         if not changes:
--- a/benchmarks/scale/fits.py
+++ b/benchmarks/scale/fits.py
@@ -13,7 +13,7 @@
 
 from benchmarks.scale.records import Fit, Point
 
-MIN_SIZES = 3  # a line through two points always has a residual of 0
+MIN_SIZES = 3  # prevents fits through two points, whose residual is always 0
 
 
 @dataclass(frozen=True)
--- a/benchmarks/scale/kept_runs.py
+++ b/benchmarks/scale/kept_runs.py
@@ -69,7 +69,7 @@
 def _per_balancer(outcome: RunOutcome) -> tuple[float, float]:
     """Return the calls and bytes per second of one balancer.
 
-    Behind relays only the relays' answers count; the result is 0 if the relays logged too little.
+    Behind relays, only answers of the relays are counted. The result is 0 if the relays logged too little.
     """
     load: BalancerLoad = outcome.hollow_load
     if load.calls_per_s is not None and load.bytes_per_s is not None:
--- a/benchmarks/scale/module.py
+++ b/benchmarks/scale/module.py
@@ -1,6 +1,6 @@
 """Processor time and memory of the decision module alone, in simulated time and one process.
 
-Memory is the total that tracemalloc attributes to the module, so that slopes are bytes per server and bytes
+Memory is the size of the allocations that tracemalloc records, so that slopes are bytes per server and bytes
 per connection.
 """
 
--- a/benchmarks/scale/records.py
+++ b/benchmarks/scale/records.py
@@ -58,7 +58,7 @@
     inputs: dict[str, NotNegative]  # for example {"servers": 1000}
     values: Annotated[list[float], msgspec.Meta(min_length=1)]
     seeds: list[int] = []
-    measured: Count = 0  # index into `measured` of the results
+    measured: Count = 0  # index into `SlopeResults.measured`
 
 
 class Fit(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -114,7 +114,7 @@
     servers: Count
     seed: int
     seconds: NotNegative
-    held: bool  # whether all balancers ran to the end
+    held: bool  # whether all balancers ran to the end and the clocks skipped little time
     service_ms: NotNegative  # processing time of a call at the list service
     source_calls: Count
     source_calls_per_s: NotNegative
@@ -130,7 +130,7 @@
     real_core_pct: NotNegative  # per real balancer, of one core
     real_mib: NotNegative  # resident memory per real balancer
     relay_core_pct: NotNegative = 0.0  # mean of the relays, of one core
-    relay_core_pct_most: NotNegative = 0.0
+    relay_core_pct_most: NotNegative = 0.0  # maximum of the relays, of one core
     relay_mib: NotNegative = 0.0
     relay_bytes_per_s: NotNegative = 0.0  # mean of the relays, downstream
     clients_per_balancer_s: NotNegative = 0.0  # arrivals
@@ -138,7 +138,7 @@
     queue_most: Count = 0  # longest queue of calls at the list service
     connections_reset: Count = 0  # by the list service
     restarts: Count = 0  # of killed hollow balancers
-    late_p99_s: NotNegative = 0.0  # event loop lag of the hollow processes, part of their propagation times
+    late_p99_s: NotNegative = 0.0  # event loop lag of the hollow processes, included in told_hollow
     lost_part: NotNegative = 0.0  # fraction of the story that the clock of the worst hollow process skipped
     hollow_gib: NotNegative = 0.0  # resident memory of all hollow processes
 
--- a/benchmarks/scale/runner.py
+++ b/benchmarks/scale/runner.py
@@ -25,7 +25,7 @@
 
 
 class CoreBudget:
-    """Limits the cores in use. A single part may always run, whatever it needs."""
+    """Limits the cores in use. A part that needs more than the limit runs alone."""
 
     def __init__(self, limit: float) -> None:
         self._limit = limit
--- a/benchmarks/scale/runs.py
+++ b/benchmarks/scale/runs.py
@@ -50,7 +50,7 @@
 
 
 def play(plan: RunPlan) -> RunOutcome:
-    """Play one run in a temporary directory; raises NotHeld."""
+    """Play one run in a temporary directory; raises SizeNotHeld."""
     with tempfile.TemporaryDirectory() as directory:
         return anyio.run(Run(plan, Path(directory)).play)
 
--- a/benchmarks/scale/sizes.py
+++ b/benchmarks/scale/sizes.py
@@ -14,7 +14,7 @@
 
     at_servers: int = 1_000
     at_balancers: int = 7_500  # as configured in the module
-    groups: int = 100  # shared by the connections, where they share any
+    groups: int = 100  # in measurements whose connections share groups
     servers: tuple[int, ...] = (100, 1_000, 10_000, 100_000)
     connections: tuple[int, ...] = (1_000, 5_000, 15_000, 30_000, 60_000)
     balancers: tuple[int, ...] = (3, 30, 200, 2_000)  # besides `at_balancers`
@@ -24,7 +24,7 @@
     wake_ups: int = 2_000
 
     control_servers: tuple[int, ...] = (1_000, 4_000, 10_000, 16_000)
-    control_changes: tuple[float, ...] = (0.1, 1.0, 5.0)  # per second, with `at_servers`, besides 0
+    control_changes: tuple[float, ...] = (0.1, 1.0, 5.0)  # list changes per second, with `at_servers`
     connection_servers: int = 20  # of a balancer process with connections
     idle_connections: tuple[int, ...] = (0, 500, 1_000, 2_500, 5_000)
     lines_per_s: tuple[int, ...] = (500, 1_000, 2_000, 4_000)
--- a/benchmarks/size/__main__.py
+++ b/benchmarks/size/__main__.py
@@ -37,8 +37,8 @@
 class Need:
     """Resource use of one run from the start of the process.
 
-    CPU in seconds, peak memory in MiB, descriptors at the end, connections opened to servers, bytes of lists,
-    and the fraction of requests that were established.
+    CPU in seconds, peak memory in MiB, descriptors at the end, connections opened to servers, bytes of lists
+    sent by discovery, and the fraction of requests that were established.
     """
 
     cpu: float
--- a/benchmarks/spread/__main__.py
+++ b/benchmarks/spread/__main__.py
@@ -33,7 +33,7 @@
 def play(
     name: str, balancers: int, servers: int, standing: int, groups: int, root: Path | None
 ) -> tuple[dict[str, float], list[str]]:
-    """Play one story; return its statistics and the rule violations."""
+    """Play one story; return its statistics, with `late_ms` in ms, and the rule violations."""
     kind = {"life": LIFETIME_S * 1_000.0, "every": 3_000.0, "give_up": 2_000.0, "groups": groups or 1_000_000}
     changes: dict[str, Any] = {
         "balancers": balancers, "rate": standing / LIFETIME_S, "quota": standing * 4 / 3,
--- a/benchmarks/start/costs.py
+++ b/benchmarks/start/costs.py
@@ -57,7 +57,7 @@
 
 
 def changes(count: int, changes_per_s: float, seconds: float) -> tuple[float, float]:
-    """Return the share of a core that list changes take in the store, and in store and module together."""
+    """Return the fraction of a core that list changes use in the store, and in store and module together."""
     with tempfile.TemporaryDirectory() as directory:
         clock, rng = Clock(), Random(3)
         exchange = _exchange(clock)
--- a/benchmarks/start/story.py
+++ b/benchmarks/start/story.py
@@ -43,14 +43,14 @@
 class Result:
     """The results of one run."""
 
-    asked: int = 0
-    up: int = 0
-    in_time: int = 0
-    refused: int = 0
+    asked: int = 0  # requests
+    up: int = 0  # established
+    in_time: int = 0  # established within `TARGET_MS`
+    refused: int = 0  # answered with BUSY
     first_ms: float = float("nan")  # from the first request to the first UP
-    p50: float = float("nan")
+    p50: float = float("nan")  # ms from a request to UP
     p99: float = float("nan")
-    to_draining: int = 0
+    to_draining: int = 0  # attempts at the draining server
     dead_paid_twice: int = 0  # requests with attempts at two or more silent servers
     broken: list[str] = field(default_factory=list)
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -43,7 +43,7 @@
 TEXT = TARGETS.read_text(encoding="utf-8")
 LOW, HIGH = 100.0, 10_000.0  # the measured range of each synthetic input
 UNITS = {"s": "ms", "B": "KiB", "%": "%", "B/s": "B/s", "/s": "/s"}
-# Each input that varies, with the constant ones, as in `make bench-scale`.
+# The inputs that vary, each with the inputs held constant, as in `make bench-scale`.
 VARIED: dict[str, dict[str, float]] = {
     "servers": {"standing": 0.0},
     "standing": {"servers": 1_000.0},
@@ -399,7 +399,7 @@
 
 
 def test_targets_by_arithmetic() -> None:
-    """Checks the model against values that follow from the committed targets by hand."""
+    """Checks the model against values computed by hand from the committed targets."""
     named_quantities = full_capacity().named_quantities
     shown = [
         named_quantities[name].amount
@@ -429,7 +429,10 @@
 
 @pytest.mark.parametrize(("part", "used", "hops", "waits"), [(0.99, 0.6, 1, 4.094), (0.99, 1.0, 2, 6.638)])
 def test_queues_by_known_quantiles(part: float, used: float, hops: int, waits: float) -> None:
-    """One M/M/1 queue: ln(0.6 / 0.01). Two that always wait: half of the chi-squared quantile, 13.277 / 2."""
+    """Checks one M/M/1 queue, ln(0.6 / 0.01), and two queues in which every message waits.
+
+    The latter is half of the chi-squared quantile with four degrees of freedom, 13.277 / 2.
+    """
     assert queueing_quantile(part, used, hops) == pytest.approx(waits, abs=0.001)
 
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,6 +1,6 @@
-"""Guards against resource use of a balancer above the allowed limits with 16 times the servers.
+"""Guards against a balancer that exceeds its resource limits with 16 times the servers.
 
-CPU is covered by `make bench-size` and by a test of the module, since it varies on a shared machine.
+Processor time varies on a shared machine and is covered by `make bench-size` and a test of the module.
 """
 
 from __future__ import annotations
