--- a/puffinford/balance.py
+++ b/puffinford/balance.py
@@ -43,17 +43,17 @@
 CAPACITY_ESTIMATE_GROWTH_PER_S = 1.02
 SLOW_DELAY_FACTOR = 3.0  # a server is slow if its message delay times this exceeds the shortest aim
 COLD_SLOW_DELAY_FACTOR = 1.5  # the same for a cold server
-SLOW_DURATION_MS = 3_000.0  # three missed delay updates
-MOVE_FRACTION = (
-    0.7  # of the connections at a late server, moved at each report and divided by the late servers
-)
+SLOW_DURATION_MS = 3_000.0  # how long a server counts as slow without another update
+# Of the connections at a late server, moved at each report and divided by the number of late servers.
+MOVE_FRACTION = 0.7
 SPARSE_MOVE_FRACTION = 0.35  # the same where connections per server are sparse
 MOVE_COOLDOWN_MS = 2_000.0  # time that a client which came back is not moved again
 
 # Unreachable servers
 INITIAL_RETRY_DELAY_MS = 500.0
 MAX_RETRY_DELAY_MS = 8_000.0
-MAX_DELAY_FAILURES = int(MAX_RETRY_DELAY_MS / INITIAL_RETRY_DELAY_MS).bit_length()  # for the longest
+# Failures in a row from which the retry delay is MAX_RETRY_DELAY_MS.
+MAX_DELAY_FAILURES = int(MAX_RETRY_DELAY_MS / INITIAL_RETRY_DELAY_MS).bit_length()
 RESTART_DOWNTIME_MS = 1_500.0  # a server without connections for this long may have restarted
 
 # Load reports and probes
@@ -61,7 +61,7 @@
 FULL_UTILIZATION = 0.95  # a server is skipped from this utilization on
 AVAILABLE_UTILIZATION = 0.85  # and used again below this one
 MIN_LEARNING_UTILIZATION = 0.1  # reports below this are too coarse to learn the warm capacity from
-MIN_LEARNING_CONNECTIONS = 20
+MIN_LEARNING_CONNECTIONS = 20  # own connections, below which it is not learned
 WARM_CAPACITY_LEARNING_RATE = 0.05  # of the difference, at each report
 REPORT_TTL_MS = 10_000.0  # for placements
 FRESH_REPORT_TTL_MS = 4_000.0  # for moves and the load limit
@@ -175,7 +175,7 @@
                 request.rebind_class(self._classes[request.cls.name])
 
     def may_refuse(self, ident: str, in_flight: bool) -> bool:
-        """Whether a request given up now may be refused; `in_flight`: its current attempt was sent whole."""
+        """Whether a request given up now may be refused; `in_flight`: its current attempt was fully sent."""
         request = self._tracked_requests.get(ident)
         return request is None or request.may_be_refused(in_flight)
 
@@ -516,7 +516,7 @@
             return
         if self._fleet.sparse:
             # Prevents many balancers from each adding a connection to a late server: an estimate below one
-            # connection is a probability. It is drawn once a report, because with a draw for each request
+            # connection is a probability. It is drawn once per report, because with a draw for each request
             # one of the next few would succeed.
             backend.capacity_estimate = CAPACITY_ESTIMATE_RATIO * min(
                 self._capacity_estimate(backend), max(1.0, backend.load)
@@ -742,7 +742,7 @@
         return self._slow_start.has_turn(backend, self._now)
 
     def _learn_warm_capacity(self) -> None:
-        """Learn the connections that a warm server of mean size carries from load reports, without quotas.
+        """Without quotas, learn from load reports how many connections a warm server of mean size can carry.
 
         The estimate is the connections of all balancers, extrapolated from the own ones, over the utilization
         of the warm servers. Few own connections give no estimate, since refused clients are not counted.
@@ -893,8 +893,8 @@
             if not self._may_verify(request, backend):
                 continue
             if backend.unreachable:
-                # Prevents refusals while servers run that only dropped a connection. A server whose trials
-                # failed as well is not used.
+                # Prevents refusals while a server that only dropped a connection may still run. A server
+                # whose trials failed as well is not used.
                 if (
                     backend.unreachable_since is None
                     and backend.failures < 3
--- a/puffinford/core/attempts.py
+++ b/puffinford/core/attempts.py
@@ -146,9 +146,8 @@
             "number": attempt.number,
         }
         if ended.result is it.Result.ERROR:
-            fields["figures"] = str(request.opening.parameters)[
-                :300
-            ]  # the server may have rejected the opening
+            # The server may have rejected the opening.
+            fields["figures"] = str(request.opening.parameters)[:300]
         log.info("attempt ended", extra={**fields, "ms": round(latency, 1)})
 
     async def _forward_all(self, request: ClientRequest, messages: tuple[Message, ...]) -> None:
--- a/puffinford/core/clock.py
+++ b/puffinford/core/clock.py
@@ -26,7 +26,7 @@
         return self._offset
 
     def wall_ahead(self) -> float:
-        """Unix time minus this clock, in ms: how far the wall clock was stepped since its creation."""
+        """Unix time minus this clock, in ms: the steps of the wall clock since this one was created."""
         return time.time() * 1000.0 - self.now()
 
     async def sleep(self, ms: float) -> None:
--- a/puffinford/core/note_classifier.py
+++ b/puffinford/core/note_classifier.py
@@ -1,4 +1,4 @@
-"""Tells load notes from delay notes for servers that send both as `LOAD X`.
+"""Distinguishes load notes from delay notes for servers that send both as `LOAD X`.
 
 A load note gives the load of its connection in microseconds of work per second, whenever that changes.
 Delay notes give the time that a message takes at the server, in ms: once a second on one connection of each
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class Note:
-    """A note of either kind."""
+    """A note of either kind, received at `received_at` (ms)."""
 
     request_id: str
     server: str
--- a/puffinford/core/silent_servers.py
+++ b/puffinford/core/silent_servers.py
@@ -10,9 +10,9 @@
 
 # A connection is moved after this time without input while a line is unanswered.
 SILENCE_LIMIT_MS = 3_500.0
-# A server counts as silent after this time without input on any of its connections ...
+# A server is silent after this time without input on any of its connections, if at least
+# MIN_UNANSWERED_LINES of them have an unanswered line.
 SERVER_SILENCE_LIMIT_MS = 2_500.0
-# ... while at least this many of them have an unanswered line.
 MIN_UNANSWERED_LINES = 3
 
 
--- a/puffinford/core/start_times.py
+++ b/puffinford/core/start_times.py
@@ -20,7 +20,8 @@
 
     The wall clock may be stepped here or on the servers' hosts. A new start is converted with the offset of
     the wall clock at the start of this process and with its offset now, and the later result that is not in
-    the future is used: a server taken for too old would be overloaded. Results are in ms of the local clock.
+    the future is used: a server that is considered older than it is would be overloaded. Results are in ms
+    of the local clock.
     """
 
     def __init__(self, clock: Clock) -> None:
--- a/puffinford/core/state_path.py
+++ b/puffinford/core/state_path.py
@@ -1,4 +1,4 @@
-"""Where the processes of one balancer keep what they share."""
+"""The path of the files that the processes of one balancer share."""
 
 from __future__ import annotations
 
@@ -7,5 +7,5 @@
 
 
 def state_path(directory: str | None, balancer: str) -> Path | None:
-    """Where the versions of a balancer keep what they share, as the start of file names; None without one."""
+    """The common prefix of the shared files of a balancer; None without a state directory."""
     return Path(directory) / f"puffinford.{quote(balancer, safe='')}" if directory else None
--- a/puffinford/core/values.py
+++ b/puffinford/core/values.py
@@ -39,7 +39,7 @@
     retry: bool = False
     came_back: bool = False
     resume_server: str | None = None  # server that already holds this connection
-    expected_load: float | None = None  # work per second
+    expected_load: float | None = None  # work in ms per second
     parameters: tuple[tuple[str, str | None], ...] = ()
 
     @classmethod
--- a/puffinford/decision_state.py
+++ b/puffinford/decision_state.py
@@ -15,10 +15,9 @@
 
 DEFAULT_WARM_CAPACITY = 100.0  # mean connections of a warm server, until quotas or reports give a value
 QUOTA_FRACTION = 0.5  # of the servers' capacity that is granted to tenants as quotas
-MAX_LIST_CALL_DELAY_MS = (
-    3_000.0  # between failed list calls; updates must arrive within 6 s of a recovery of discovery
-)
-FIRST_CALL_SPREAD_MS = 25.0  # for each balancer, of the first list calls of all of them
+# After a failed list call. Updates must arrive within 6 s of discovery's recovery.
+MAX_LIST_CALL_DELAY_MS = 3_000.0
+FIRST_CALL_SPREAD_MS = 25.0  # times the number of balancers: window of their first list calls
 SAME_START_TOLERANCE_MS = 50.0  # between two values for one start of a server
 CAPACITY_ESTIMATE_TTL_MS = 30_000.0
 
@@ -56,7 +55,7 @@
         self.unreachable_since: float | None = None  # first of the current failures to connect
         self.failures = 0
         self.retry_at = 0.0
-        self.recovered_at = 0.0  # failures are reset once a connection lasts past this time
+        self.recovered_at = 0.0  # a failure from this time on is counted as the first
         self.trial = ""  # id of the request whose attempt is the trial
         self.slow_until = 0.0
         self.overloaded_until = 0.0
@@ -65,7 +64,7 @@
         self.capacity_estimated_at = float("-inf")
         self.capacity_draw = 0.0  # in [0, 1); rounds a fractional capacity estimate
         self.late_reports = 0  # in a row
-        self.relief_pending = False  # late, and probed for the load to move
+        self.relief_pending = False  # late; waits for a probe that shows how much load to move
         self.delay = 0.0  # of a message
         self.utilization = 0.0  # reported load over capacity
         self.load_since_report = 0.0  # placed since that report
@@ -93,7 +92,7 @@
         self.failures = 0
 
     def reset_load_state(self) -> None:
-        """Discard what late reports have shown."""
+        """Discard the state learned from delay updates."""
         self.capacity_estimate = float("inf")
         self.capacity_draw = 0.0
         self.capacity_estimated_at = self.late_report_at = float("-inf")
--- a/puffinford/fleet.py
+++ b/puffinford/fleet.py
@@ -16,12 +16,12 @@
 from puffinford.hashing import hash_fraction, mix64, mix64_all
 from puffinford.timers import Timers
 
-SPARSE_CONNECTIONS = 12.0  # per server at this balancer, below which single connections are large steps
+SPARSE_CONNECTIONS = 12.0  # warm capacity of a server per balancer, below which the fleet is sparse
 MAX_CACHED_ENTRIES = 100_000  # in all cached group orders
 MAX_CACHED_ORDERS = 1_000
 MAX_CHANGES = 256  # list changes kept for cached orders; with more they are rebuilt
-MIN_PREFIX = 64  # entries of a group order that are computed at once
-PREFIX_DIVISOR = 8  # or the number of servers over this
+MIN_PREFIX = 64  # minimum number of entries of a group order that are computed at first
+PREFIX_DIVISOR = 8  # this fraction of the servers is computed at first, if it is more
 COLD_SCAN_INTERVAL_MS = 200.0  # for servers that became cold without a list change
 
 
@@ -136,9 +136,9 @@
         """Rotate the common order so that this balancer's slice of it comes first.
 
         The slices of all balancers cover the fleet evenly, where independent shuffles would leave some
-        servers to few balancers. A new server moves no other entry. Zones are ignored: clients are spread
-        unevenly over zones, and preferring the client's zone would overload its servers while others are
-        idle.
+        servers to few balancers. A new server does not change the order of the others. Zones are ignored:
+        clients are spread unevenly over zones, and preferring the client's zone would overload its servers
+        while others are idle.
         """
         live = [b for b in self.backends.values() if b.accepts_new]
         self.max_live = max(self.max_live, len(live))
@@ -181,8 +181,8 @@
     def group_order(self, group: int) -> Iterable[Backend]:
         """The servers in a group's order, the same at every balancer.
 
-        Where connections are sparse each group has an order of its own. Prevents the groups of a lost zone
-        from all moving to the server that follows it in the common order.
+        Where connections are sparse, each group has an order of its own. This prevents the groups of a lost
+        zone from all moving to the server that follows it in the common order.
         """
         if not self.sparse:
             start = self._group_start(group)
--- a/puffinford/interface.py
+++ b/puffinford/interface.py
@@ -28,7 +28,7 @@
 
 
 class ServerState(Enum):
-    """What a list says of a server."""
+    """The state of a server in a list."""
 
     LIVE = "live"
     DRAINING = "draining"
@@ -92,7 +92,7 @@
     effect: Effect = Effect.SAFE
     scope: Scope = Scope.ALL
     window: float = 0.0  # how long repeats of a keyed request are discarded, ms
-    value: float = 1.0
+    value: float = 1.0  # of an answer within `aim`, in points of the result
     message_aim: float = 0.0  # wanted delay of a message on an open connection, ms; 0: none
 
 
@@ -184,8 +184,8 @@
     kind: str = ""
     cell: int = 0
     state: ServerState = ServerState.LIVE
-    weight: float = 1.0
-    started: float = 0.0  # time of its latest start, ms; 0: unknown, and long ago
+    weight: float = 1.0  # relative size, if `Settings.sized`
+    started: float = 0.0  # time of its latest start, ms; 0: unknown, taken as long ago
 
 
 # Events
@@ -212,10 +212,11 @@
 
 @dataclass(slots=True)
 class UnverifiedServers:
-    """Entries of a restored list that are unverified until a connection is up or discovery answers.
+    """Entries of a restored list that are not yet verified.
 
-    At most `max_concurrent` attempts at them run at once (0: any number), each for `attempt_timeout` ms if
-    its request may be repeated. The event follows the restored list.
+    An entry is verified when a connection to it is established or discovery answers. At most
+    `max_concurrent` attempts at unverified entries run at once (0: any number), each for `attempt_timeout`
+    ms if its request may be repeated. The event follows the restored list.
     """
 
     servers: frozenset[str] = frozenset()
@@ -277,10 +278,10 @@
     cls: str
     time_left: float
     tenant: str | None = None
-    came_back: bool = False
+    came_back: bool = False  # the client was moved or disconnected before
     retry: bool = False
     group: int | None = None
-    midflow: bool = False
+    midflow: bool = False  # an open pass-through connection, not a new one
     load: float | None = None  # expected work in ms per second
     key: int | None = None
 
@@ -295,7 +296,7 @@
 
 @dataclass(slots=True)
 class Established:
-    """The connection of an attempt is up; `latency` in ms."""
+    """The connection of an attempt is established; `latency` in ms."""
 
     id: str
     attempt: int
@@ -323,7 +324,11 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """An attempt has ended; unless `closed`, the request still needs a final answer."""
+    """An attempt or its connection has ended, after `latency` ms.
+
+    Unless `closed`, the request still needs a final answer. `report` is in the order of
+    `Settings.report_fields`.
+    """
 
     id: str
     attempt: int
@@ -402,7 +407,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EstablishedConnection:
-    """An established connection."""
+    """An established connection of this balancer. `load` is in mean connections."""
 
     id: str
     key: int
@@ -419,10 +424,10 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """Send the request to a server; with `timeout` (ms) 0, until the client gives up.
+    """Send the request to a server and wait at most `timeout` ms; 0: until the client gives up.
 
-    The request may be sent before `until` (ms) only, after connecting: later a repeat could run a second
-    time.
+    It must not be sent after `until` (ms), even if the connection is established: a later repeat could run
+    a second time.
     """
 
     id: str
@@ -441,7 +446,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: refused; a retry by the client is harmless."""
+    """Final answer: refused; a retry by the client after `retry_after` ms is harmless."""
 
     id: str
     retry_after: float = 0.0
--- a/puffinford/slow_start.py
+++ b/puffinford/slow_start.py
@@ -75,7 +75,7 @@
         turn = int((fleet_turns - offset) // balancers)
         turns_since = fleet_turns - offset - turn * balancers  # of all balancers since the last own one
         if renumbered and backend.last_turn >= 0:
-            backend.last_turn = turn  # else no turn comes until the new numbers exceed the old ones
+            backend.last_turn = turn  # else there is no turn until the new numbers exceed the old ones
         if turn > backend.last_turn:
             # Prevents reuse of a turn that a previous process of this balancer may have used.
             turn_started_at = now - turns_since / turns_per_window * window
@@ -88,7 +88,7 @@
         if now > backend.turn_credit_expires_at:
             backend.turn_credit = 0.0
         # Avoids a check of thousands of cold servers at each placement. Until the warmth has doubled, turns
-        # come at most at twice the current rate.
+        # occur at most at twice the current rate.
         turns_until_next = offset + (turn + 1) * balancers - fleet_turns
         doubling_time = warmth * settings.warm_time / (1.0 - initial)
         time_to_warm = settings.warm_time - age
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -113,7 +113,7 @@
     """A balancer that receives most clients must not overload a short prefix of the servers."""
     script = Script(settings(balancers=150, tenants=[Tenant("all", 1.0, quota=1_200.0)]), 30)
     homes = [script.open(f"r{n}") for n in range(180)]
-    assert len(set(homes[:30])) <= 3, "few while it holds few"
+    assert len(set(homes[:30])) <= 3, "few connections use few servers"
     max_count = max(homes.count(home) for home in homes)
     assert len(set(homes)) >= 24 and max_count <= 20, f"{max_count} at one server, of a capacity of 80"
 
@@ -375,7 +375,7 @@
             )
         )
         moves = kinds(actions).count("Move")
-        assert moves <= 1, "spread evenly"
+        assert moves <= 1, "moves are spread evenly"
         moved += moves
     assert moved == len(held) > 5
     for kind in (ListKind.REPLACE, ListKind.UPDATE):
@@ -384,7 +384,7 @@
     assert script.balancer.listed_servers.excluded(script.now) == {"10.0.0.0:80"}
     script.play(Cordoned())
     first = script.ask("t1")
-    assert sent(first).server == "10.0.0.0:80", "tried at once"
+    assert sent(first).server == "10.0.0.0:80", "attempted immediately"
     assert sent(script.end("t1", "10.0.0.0:80", Result.CONNECT_FAILED)).server == "10.0.0.1:80"
     script.play(after=600.0)
     assert script.open("t2") == "10.0.0.0:80", "a failed connect uses no turn credit"
@@ -463,7 +463,7 @@
         assert script.open(f"r{n}") == first
     for n in range(9):
         script.end(f"r{n}", first, Result.RESET, closed=True)
-    script.play(after=500.0)  # the first wait, not the longest
+    script.play(after=500.0)  # the initial retry delay, not the longest
     assert script.open("b") == first
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -47,7 +47,7 @@
     budget = MAX_BUDGET_RATIO * 3.0 * SIMULATED_WARM_CAPACITY / QUOTA_FRACTION * 9 / 12 * warmth / 23.0
     for server in new:
         assert fleet.peak_placements(server.id) <= budget + 1
-        assert fleet.connections_by_server()[server.id] >= 10, "and yet each is filled"
+        assert fleet.connections_by_server()[server.id] >= 10, "each cold server must still be filled"
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
@@ -64,7 +64,7 @@
     )  # turns of two balancers may be unused
     assert fleet.peak_placements(cold[0].id) <= 2 + budget
     fleet.arrive(60, 8_000.0, groups=60)
-    assert fleet.connections_by_server()[cold[0].id] >= 2, "and yet it is filled"
+    assert fleet.connections_by_server()[cold[0].id] >= 2, "the cold server must still be filled"
 
 
 def _max_budget_excess(balancers: int, seed: int) -> float:
@@ -99,7 +99,7 @@
     worst = -float("inf")
     for server in new:
         times = [at for at, _, to in fleet.placements if to == server.id]
-        assert len(times) >= 8, "and yet it is filled"
+        assert len(times) >= 8, "the cold server must still be filled"
         for at in times:
             sent = sum(at <= time < at + 1_000.0 for time in times)
             warmth = 0.13 + 0.87 * (at + 1_000.0 - started) / 23_000.0
@@ -182,7 +182,7 @@
             placed += any(isinstance(action, Attempt) for action in actions)
             refused += any(isinstance(action, Refuse) for action in actions)
     assert placed + refused == 8 * BALANCERS
-    # Six late reports leave an estimate of 0.8**6, about a quarter of a connection: ten a server over all.
+    # Six late reports leave an estimate of 0.8**6, about a quarter of a connection: ten per server in total.
     assert 4 * 9 <= placed <= 16 * 9
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -103,7 +103,7 @@
             self.check_attempt(action)
         elif isinstance(action, Refuse | Fail | Move):
             case = self.cases[action.id]
-            assert case.finals == 0, "one final answer"
+            assert case.finals == 0, "a second final answer"
             case.finals = 1
             if isinstance(action, Move):
                 assert case.established
@@ -162,7 +162,7 @@
             assert case.finals or case.server, "neither an answer nor another attempt"
 
     def advance(self, step: float) -> None:
-        """Advance the clock, with the timers and timeouts that come due."""
+        """Advance the clock, and run the timers and timeouts that are due."""
         until = self.now + step
         while True:
             due = [(case.timeout_at, ident) for ident, case in self.cases.items()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -323,7 +323,7 @@
 
 @pytest.mark.anyio
 async def test_a_process_that_is_slow_to_write_answers_all_before_the_kill(tmp_path: Path) -> None:
-    """Guards against closing connections before the last answers are written, at 3 ms a write."""
+    """Connections must not be closed before the last answers are written, at 3 ms a write."""
     async with site(tmp_path, channels=True, classes=classes(1.0)) as here:
 
         async def slow() -> None:
--- a/tests/test_stall.py
+++ b/tests/test_stall.py
@@ -21,7 +21,7 @@
 @pytest.mark.anyio
 @pytest.mark.parametrize("update", ["draining", "none", "a failed call", "nothing at all"])
 async def test_after_a_stall_new_attempts_wait_for_the_list_for_half_a_second_at_most(update: str) -> None:
-    """Guards against attempts at servers that began to drain during the stall."""
+    """New attempts must not go to servers that began to drain during the stall."""
     attempts: list[str] = []
 
     def server(ident: str):  # type: ignore[no-untyped-def]
@@ -41,7 +41,9 @@
         client = await here.client(opening("0a"))
         for _ in range(20):
             await here.settle()
-        assert attempts == [] and here.source.refresh_calls == 1, "asked at once, and once"
+        assert attempts == [] and here.source.refresh_calls == 1, (
+            "the list is requested immediately, and once"
+        )
         if update == "draining":
             await here.server("s-2", server("s-2"))
             here.list_server("s-1", 1, ServerState.DRAINING)
@@ -56,7 +58,7 @@
         assert await client.line() == b"UP 0a\r\n"
         assert attempts == ["s-2" if update == "draining" else "s-1"]
         fresh = await here.client(opening("0b"))
-        assert await fresh.line() == b"UP 0b\r\n", "trusted again"
+        assert await fresh.line() == b"UP 0b\r\n", "the list is no longer suspect"
         here.tasks.cancel_scope.cancel()
 
 
@@ -74,7 +76,7 @@
 
 @pytest.mark.anyio
 async def test_a_refresh_asks_without_waiting_whatever_call_is_out() -> None:
-    """Guards against waiting up to 2 s for the next call when the current one times out after a stall."""
+    """When the current call times out after a stall, the next one must not wait up to 2 s."""
     asked: list[bytes] = []
     taken: list[ServerEntries | None] = []
     heard = anyio.Event()
