--- a/puffinford/core/drain.py
+++ b/puffinford/core/drain.py
@@ -1,4 +1,4 @@
-"""Drain of a process: moves all established connections before it ends."""
+"""Drain of a process: moves all established connections before the process ends."""
 
 from __future__ import annotations
 
--- a/puffinford/core/exchange.py
+++ b/puffinford/core/exchange.py
@@ -187,7 +187,7 @@
         return connections
 
     def best_server(self, request_id: str) -> str | None:
-        """The server that would be chosen now for an established connection."""
+        """The server that an established connection would get if it were new; None if there is none."""
         return self._balancer.best_server(request_id, self._clock.now())
 
     def relocate(self, request_id: str, server: str, hold_ms: float) -> bool:
--- a/puffinford/text_table.py
+++ b/puffinford/text_table.py
@@ -6,7 +6,7 @@
 
 
 def format_table(headers: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
-    """Format rows as columns of minimum width; numeric columns are right-aligned."""
+    """Format rows below their headers in columns of minimum width. Numeric columns are right-aligned."""
     lines = [[str(cell) for cell in row] for row in rows]
     widths = [max(len(cell) for cell in column) for column in zip(headers, *lines, strict=True)]
     numeric = [
--- a/puffinford/timers.py
+++ b/puffinford/timers.py
@@ -25,7 +25,7 @@
         heapq.heappush(self._heap, (when, self._sequence, call))
 
     def run_due(self, now: float) -> None:
-        """Run all calls that are due."""
+        """Run all calls scheduled up to `now`, in the order of their times."""
         while self._heap and self._heap[0][0] <= now + TOLERANCE_MS:
             heapq.heappop(self._heap)[2]()
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -198,7 +198,7 @@
 
 @pytest.mark.parametrize("balancers", [1, 3])
 def test_a_balancer_of_a_small_fleet_asks_for_its_first_list_at_once(balancers: int) -> None:
-    """A small fleet must not wait out the jitter of a large one, and refuse clients meanwhile."""
+    """Balancers of a small fleet must not delay their first call by the jitter of a large fleet."""
     for seed in range(20):
         configured = Settings(
             classes=[RequestClass("desk", 2_000.0)],
@@ -250,7 +250,7 @@
 
 
 def _count_function_calls(servers: int, cold: bool) -> int:
-    """Function calls of a balancer for 200 clients with a group each, and a list change a second."""
+    """Function calls of a balancer for 200 clients with a group each, and a list change per second."""
     fleet = [Server(f"s-{n}", weight=200.0 / servers) for n in range(servers)]
     configured = Settings(
         classes=[RequestClass("desk", 2_000.0)], tenants=[Tenant("t", 1.0, 0.0, 8_000.0)], balancers=200,
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -239,7 +239,7 @@
 async def test_a_process_that_is_held_up_once_still_ends_in_time(
     at: str, deadline: float, tmp_path: Path
 ) -> None:
-    """The process may be suspended for 0.15 s at any moment."""
+    """A suspension of 0.15 s at any moment must not leave connections open at SIGKILL."""
     plan = plan_shutdown([it.Settings(classes=[it.RequestClass("c", deadline)])], has_ready_successor=False)
     moments = {
         "the signal": 0.0,
@@ -334,7 +334,7 @@
 
 @pytest.mark.anyio
 async def test_an_idle_crowd_that_fills_the_descriptors_is_ended_before_the_kill_too(tmp_path: Path) -> None:
-    """Accepted connections are answered; others may be closed unread."""
+    """Accepted connections must be answered. Others may be closed unread."""
     async with site(tmp_path, sockets=128, classes=classes(500.0)) as here:
         crowd = [await anyio.connect_tcp("127.0.0.1", here.port) for _ in range(200)]
         seen: list[list[bytes]] = []
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 6))
 def test_delays_are_distinguished_from_loads_by_their_series(seed: int) -> None:
-    """A delay taken for a load would hide an overloaded server."""
+    """A delay classified as a load would hide an overloaded server."""
     rng = random.Random(seed)
     standing = {f"j{n}" for n in range(40)}
     kinds = NoteClassifier(100.0, standing.__contains__)
@@ -109,7 +109,7 @@
     loads += [note.value for note in kinds.due(70_000.0)]
     wanted = {value for *_, value in row[1:]}
     assert wanted <= set(delays), "all but the first, which needs a second value"
-    assert len(delays) <= len(wanted) + 3, "few of 1,500 loads are taken for delays"
+    assert len(delays) <= len(wanted) + 3, "few of 1,500 loads are classified as delays"
     assert len(delays) + len(loads) >= len(lines) + len(wanted) - 3, "only the first of a series may be lost"
 
 
@@ -234,7 +234,7 @@
 async def test_an_agent_that_hangs_for_30_s_is_held_few_calls_and_heard_at_once_when_it_answers_all() -> None:
     """An agent that accepts calls without answering, and then answers all of them, the oldest first.
 
-    With one call at a time the list would be outdated for too long after the agent has recovered.
+    With one call at a time the list would stay outdated for too long after the agent has recovered.
     """
     held: list[anyio.abc.SocketStream] = []
     max_held = 0
@@ -284,7 +284,7 @@
                 passed += 500.0
                 await here.settle()
         assert taken == [] and calls <= 14 and max_held <= MAX_CONCURRENT_CALLS, (
-            "several calls are open, but few"
+            "calls in progress must stay within their limit"
         )
         received = anyio.Event()
         back.set()
--- a/tests/test_staleness.py
+++ b/tests/test_staleness.py
@@ -235,7 +235,7 @@
 
 
 async def test_a_discovery_that_answers_a_watch_at_once_costs_ten_calls_a_second() -> None:
-    """Prevents a busy loop on a discovery service whose watches do not wait."""
+    """Calls to a discovery service that answers watches immediately must be paced."""
     async with harness() as here:
         watched = Watched(here, False, 1)
         await watched.start()
