--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -47,7 +47,7 @@
     budget = MAX_BUDGET_RATIO * 3.0 * SIMULATED_WARM_CAPACITY / QUOTA_FRACTION * 9 / 12 * warmth / 23.0
     for server in new:
         assert fleet.peak_placements(server.id) <= budget + 1
-        assert fleet.connections_by_server()[server.id] >= 10, "and yet each is filled"
+        assert fleet.connections_by_server()[server.id] >= 10, "each cold server must still be filled"
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
@@ -64,7 +64,7 @@
     )  # turns of two balancers may be unused
     assert fleet.peak_placements(cold[0].id) <= 2 + budget
     fleet.arrive(60, 8_000.0, groups=60)
-    assert fleet.connections_by_server()[cold[0].id] >= 2, "and yet it is filled"
+    assert fleet.connections_by_server()[cold[0].id] >= 2, "the cold server must still be filled"
 
 
 def _max_budget_excess(balancers: int, seed: int) -> float:
@@ -99,7 +99,7 @@
     worst = -float("inf")
     for server in new:
         times = [at for at, _, to in fleet.placements if to == server.id]
-        assert len(times) >= 8, "and yet it is filled"
+        assert len(times) >= 8, "the cold server must still be filled"
         for at in times:
             sent = sum(at <= time < at + 1_000.0 for time in times)
             warmth = 0.13 + 0.87 * (at + 1_000.0 - started) / 23_000.0
@@ -182,7 +182,7 @@
             placed += any(isinstance(action, Attempt) for action in actions)
             refused += any(isinstance(action, Refuse) for action in actions)
     assert placed + refused == 8 * BALANCERS
-    # Six late reports leave an estimate of 0.8**6, about a quarter of a connection: ten a server over all.
+    # Six late reports leave an estimate of 0.8**6, about a quarter of a connection: ten per server in total.
     assert 4 * 9 <= placed <= 16 * 9
 
 
@@ -198,7 +198,7 @@
 
 @pytest.mark.parametrize("balancers", [1, 3])
 def test_a_balancer_of_a_small_fleet_asks_for_its_first_list_at_once(balancers: int) -> None:
-    """A small fleet must not wait out the jitter of a large one, and refuse clients meanwhile."""
+    """Balancers of a small fleet must not delay their first call by the jitter of a large fleet."""
     for seed in range(20):
         configured = Settings(
             classes=[RequestClass("desk", 2_000.0)],
@@ -250,7 +250,7 @@
 
 
 def _count_function_calls(servers: int, cold: bool) -> int:
-    """Function calls of a balancer for 200 clients with a group each, and a list change a second."""
+    """Function calls of a balancer for 200 clients with a group each, and a list change per second."""
     fleet = [Server(f"s-{n}", weight=200.0 / servers) for n in range(servers)]
     configured = Settings(
         classes=[RequestClass("desk", 2_000.0)], tenants=[Tenant("t", 1.0, 0.0, 8_000.0)], balancers=200,
