--- a/puffinford/config.py
+++ b/puffinford/config.py
@@ -99,7 +99,10 @@
     *,
     reloading: bool = False,
 ) -> Config:
-    """Read the configuration. On a reload its addresses override the environment. Raises BadConfig."""
+    """Read the configuration. Raises BadConfig.
+
+    On a reload, a name or an address in the file overrides the environment, except the management address.
+    """
     path = env.get("EDGE_CONFIG")
     if not path:
         raise BadConfig("EDGE_CONFIG is not set")
--- a/puffinford/fronts/accepting.py
+++ b/puffinford/fronts/accepting.py
@@ -31,8 +31,7 @@
 # Connections over the limit that are read and answered at a time; they use reserved descriptors.
 MAX_CONCURRENT_REJECTIONS = 8
 REJECTION_READ_TIMEOUT_MS = 300.0  # to read the request of a connection over the limit
-# Idle connections evicted when the system is out of descriptors: enough for a client, its server and a
-# management call.
+# Idle connections evicted when the system is out of descriptors.
 EVICTIONS_ON_SHORTAGE = 4
 MAX_DEAD_CONNECTIONS_PER_TURN = 8  # already closed when accepted; then accepting pauses
 SHORTAGES_BEFORE_EVICTION = 4  # consecutive failures of accept(2) after which idle connections are evicted
@@ -101,7 +100,7 @@
 
     @contextmanager
     def track_session(self, scope: anyio.CancelScope) -> Iterator[None]:
-        """Register a connection that carries many requests; cancelling `scope` closes it in order."""
+        """Register a connection that carries many requests; cancelling `scope` closes it gracefully."""
         self._sessions.add(scope)
         try:
             yield
@@ -243,7 +242,7 @@
         try:
             accept_up_to(max_accepts)
         except OSError as exc:
-            # A later accept may succeed. A brief shortage of the kernel or of another process evicts nobody.
+            # A later accept may succeed. A brief shortage elsewhere on the host evicts nothing.
             log.warning("accept failed", extra={"error": str(exc)})
             shortages += 1
             is_persistent = exc.errno in LOCAL_SHORTAGE_ERRNOS and shortages >= SHORTAGES_BEFORE_EVICTION
--- a/puffinford/fronts/connecting.py
+++ b/puffinford/fronts/connecting.py
@@ -15,11 +15,11 @@
 
 log = logging.getLogger("puffinford.fronts.sockets")  # the name that operators filter logs by
 
-CONNECT_RETRY_PAUSES_MS = RETRY_PAUSES_MS[:3]  # fewer than elsewhere: another server may do
+CONNECT_RETRY_PAUSES_MS = RETRY_PAUSES_MS[:3]  # fewer retries: another server can be tried
 
 
 async def connect(address: tuple[str, int], clock: Clock, budget: DescriptorBudget) -> TcpStream | None:
-    """Return a connection, or None if it is refused or the server is unreachable.
+    """Return a connection, or None if the server refuses it or is unreachable.
 
     Raises LocalShortage if this host is short of a resource; transient errors are retried first, so that they
     do not make a healthy server count as failed.
--- a/puffinford/fronts/lines/__init__.py
+++ b/puffinford/fronts/lines/__init__.py
@@ -1,1 +1,1 @@
-"""Front for the platform's line protocol: one TCP connection a request."""
+"""Front for the platform's line protocol: one TCP connection per request."""
--- a/puffinford/fronts/lines/codec.py
+++ b/puffinford/fronts/lines/codec.py
@@ -124,7 +124,7 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Return the original line of a message, or a line for its kind if it came over another front."""
+    """Return the original line of a message, or a line for its kind if it arrived over another front."""
     if message.data or message.kind is MessageKind.DATA:
         return message.data
     return _LINES_BY_KIND.get(message.kind) or f"LOAD {message.note:g}".encode() + LINE_END
--- a/puffinford/fronts/lines/connection.py
+++ b/puffinford/fronts/lines/connection.py
@@ -1,4 +1,4 @@
-"""One side's connection of a request over the line front."""
+"""The connection of a request to its client or its server, over the line front."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
     @property
     def pending(self) -> bool:
-        """Whether bytes were read that no returned line holds."""
+        """Whether bytes have been read that are not part of a returned line."""
         return self._reader.pending
 
     async def read_line(self, on_activity: Callable[[], None] | None = None) -> bytes:
@@ -75,12 +75,12 @@
         await self._stream.write(codec.encode_message(message))
 
     async def answer(self, answer: Up | Busy | Failed) -> None:
-        """Write the answer to the opening; after any but Up, `end` is to follow."""
+        """Write the answer to the opening; after any answer but Up, call `end`."""
         data = codec.encode_answer(answer)
         await (self._stream.write(data) if isinstance(answer, Up) else self._stream.finish(data))
 
     async def move(self) -> None:
-        """Write MOVE, which tells the client to connect again."""
+        """Write MOVE, which asks the client to connect again."""
         await self._stream.write(codec.MOVE)
 
     async def end_sending(self) -> None:
--- a/puffinford/fronts/sockets.py
+++ b/puffinford/fronts/sockets.py
@@ -31,19 +31,19 @@
 LINGER_TIMEOUT_MS = 800.0  # for the peer to close its side; the protocol allows 1 s
 MAX_LINGER_BYTES = 2 << 20  # read and discarded while lingering
 LINGER_CHUNK_BYTES = 65_536
-LINGER_DIVISOR = 16  # lingering connections may hold 1/16 of the descriptors ...
-MIN_LINGERING = 8  # ... and at least 8 may linger
+LINGER_DIVISOR = 16  # lingering connections may hold 1/16 of the descriptors
+MIN_LINGERING = 8  # connections that may linger even if 1/LINGER_DIVISOR of the descriptors is less
 FINAL_WRITE_TIMEOUT_MS = 500.0  # for a peer to read the last message of a connection
 MIN_CLOSE_TIMEOUT_MS = 20.0  # lower bound of both timeouts during shutdown
 CLOSE_CHECK_TURNS = 4  # turns of the event loop for readers to consume input that precedes a FIN
 # For discovery, the listeners, the process's own files and one turn of accepting.
 RESERVED_DESCRIPTORS = 32
 MAX_MGMT_DESCRIPTORS = 16  # for callers of the management address only
-MGMT_ACCEPTS_PER_TURN = 4  # also the callers held over MAX_MGMT_DESCRIPTORS until idle ones are evicted
+MGMT_ACCEPTS_PER_TURN = 4  # may exceed MAX_MGMT_DESCRIPTORS until idle callers are evicted
 
 
 class LocalShortage(Exception):
-    """This host, not the peer, is short of a resource for a connection; `errno` names it."""
+    """This host, not the peer, is short of a resource for a connection; `errno` gives the cause."""
 
     def __init__(self, error: int) -> None:
         super().__init__(errno.errorcode.get(error, str(error)))
@@ -82,7 +82,7 @@
         self.on_change()
 
     def release(self) -> None:
-        """Count one open socket less."""
+        """Count one fewer open socket."""
         self.used -= 1
         self.on_change()
 
@@ -95,7 +95,7 @@
     def linger(self, scope: anyio.CancelScope) -> Iterator[None]:
         """Register a lingering close; `scope` is cancelled when its descriptor is needed."""
         self._lingering[scope] = None
-        if not self.shutting_down:  # during shutdown no new connection needs them
+        if not self.shutting_down:  # during shutdown no new connection needs the descriptors
             self.cut_lingering(
                 max(0, self.lingering_count - max(MIN_LINGERING, self.limit // LINGER_DIVISOR))
             )
@@ -130,7 +130,7 @@
 class TcpStream:
     """A non-blocking TCP connection that counts against a descriptor budget.
 
-    Reads chunks, writes messages whole, and closes with FIN after a linger or with RST.
+    Reads chunks, writes complete messages, and closes with FIN and a linger, or with RST.
     """
 
     def __init__(self, sock: socket.socket, clock: Clock, budget: DescriptorBudget) -> None:
@@ -168,7 +168,7 @@
         return data
 
     async def _pause_or_raise(self, os_error: OSError, shortages: int) -> int:
-        """Pause after a transient error, the one after `shortages` consecutive ones; return their new count.
+        """Pause after a transient error that follows `shortages` consecutive ones; return the new count.
 
         Raises `os_error` if it is not transient or there were too many.
         """
@@ -204,9 +204,9 @@
         return False
 
     async def write(self, data: bytes) -> None:
-        """Write a message whole; raises ConnectionBroken.
+        """Write a complete message; raises ConnectionBroken.
 
-        Prevents interleaved messages: the rest of a message whose write was cancelled goes before the next.
+        Prevents interleaved messages: the rest of a message whose write was cancelled is sent first.
         """
         try:
             async with self._lock:
@@ -279,7 +279,7 @@
 
 
 class LineReader:
-    """Splits a stream of bytes into lines with their ends; a line over MAX_LINE_BYTES comes in pieces."""
+    """Splits a stream of bytes into lines with their ends, and lines over MAX_LINE_BYTES into pieces."""
 
     def __init__(self) -> None:
         self._lines: deque[bytes] = deque()
--- a/puffinford/logs.py
+++ b/puffinford/logs.py
@@ -55,9 +55,11 @@
         self._counts: dict[str, tuple[int, int]] = {}  # by event: the second, and the records in it
 
     def info(self, event: str, **fields: object) -> None:
+        """Log an event at INFO, unless over the rate limit."""
         self._write(logging.INFO, event, fields)
 
     def warning(self, event: str, **fields: object) -> None:
+        """Log an event at WARNING, unless over the rate limit."""
         self._write(logging.WARNING, event, fields)
 
     def _write(self, level: int, event: str, fields: dict[str, object]) -> None:
--- a/puffinford/serve.py
+++ b/puffinford/serve.py
@@ -45,10 +45,10 @@
 
 VERSION_POLL_INTERVAL_MS = 50.0
 SHUTDOWN_POLL_INTERVAL_MS = 10.0
-SESSION_CLOSE_LEAD_MS = 50.0  # channel sessions that are still open end this long before the close
+SESSION_CLOSE_LEAD_MS = 50.0  # channel sessions still open are closed this long before `close_at`
 SIGNAL_REORDER_WINDOW_MS = 20.0  # signals sent in quick succession may be delivered in another order
 MAX_RELOAD_WAIT_MS = 200.0  # how long a shutdown waits for a reload that was requested before it
-HANDOVER_WAIT_MS = 300.0  # gives an earlier version time to detect this one and store its learned state
+HANDOVER_WAIT_MS = 300.0  # for an earlier version to detect this one and store its learned state
 
 
 class Service:
@@ -57,7 +57,7 @@
     def __init__(
         self, config: Config, clock: Clock, load: Callable[[], Config], start_times: StartTimes
     ) -> None:
-        """`load` rereads the configuration; `start_times` has converted those of `config.known`."""
+        """`load` rereads the configuration; `start_times` must be the converter that loaded `config`."""
         self._config = config
         self._clock = clock
         self._load = load
@@ -223,7 +223,7 @@
         """Stop listening, answer waiting and idle clients, and wait until their connections have ended.
 
         Requests that arrive during the shutdown are still read and answered, not cut off unread. At
-        `deadline` (clock ms) even connections without an answer are given up.
+        `deadline` (clock ms) unanswered connections are no longer waited for.
         """
         self._listeners.stop()
         tracker = self._listeners.lines.tracker  # shared by both client fronts
@@ -253,7 +253,7 @@
             await self._clock.sleep(VERSION_POLL_INTERVAL_MS)
 
     def _stop_if_succeeded(self) -> bool:
-        """Stop accepting when this process is draining and a later version is ready; return whether so."""
+        """Stop accepting when this process is draining and a later version is ready; return whether it is."""
         if not (self._draining and self._versions.has_ready_successor):
             return False
         for front in self._listeners.fronts:
