--- a/puffinford/fronts/channels/codec.py
+++ b/puffinford/fronts/channels/codec.py
@@ -64,18 +64,23 @@
         return piece
 
     def byte(self) -> int:
+        """Read a byte."""
         return self.take(1)[0]
 
     def boolean(self) -> bool:
+        """Read a boolean."""
         return self.byte() != 0
 
     def uint32(self) -> int:
+        """Read a uint32."""
         return int.from_bytes(self.take(4), "big")
 
     def string(self) -> bytes:
+        """Read a string as bytes."""
         return self.take(self.uint32())
 
     def text(self) -> str:
+        """Read a string as text."""
         # Latin-1 preserves every byte, so that values are passed on unchanged.
         return self.string().decode("latin-1")
 
@@ -106,6 +111,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Disconnect:
+    """SSH_MSG_DISCONNECT (RFC 4253, section 11.1)."""
+
     reason: int
     description: str
     language: str = ""
@@ -113,21 +120,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Ignore:
+    """SSH_MSG_IGNORE (RFC 4253, section 11.2)."""
+
     extra: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
 class Unimplemented:
+    """SSH_MSG_UNIMPLEMENTED (RFC 4253, section 11.4)."""
+
     sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class Debug:
+    """SSH_MSG_DEBUG (RFC 4253, section 11.3)."""
+
     extra: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
 class GlobalRequest:
+    """SSH_MSG_GLOBAL_REQUEST (RFC 4254, section 4)."""
+
     name: str
     want_reply: bool
     extra: bytes = b""
@@ -135,16 +150,22 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSuccess:
+    """SSH_MSG_REQUEST_SUCCESS (RFC 4254, section 4)."""
+
     extra: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestFailure:
+    """SSH_MSG_REQUEST_FAILURE (RFC 4254, section 4)."""
+
     pass
 
 
 @dataclass(frozen=True, slots=True)
 class ChannelOpen:
+    """SSH_MSG_CHANNEL_OPEN (RFC 4254, section 5.1); `window` and `packet_most` are in bytes."""
+
     kind: str
     sender: int
     window: int
@@ -154,6 +175,8 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenConfirmation:
+    """SSH_MSG_CHANNEL_OPEN_CONFIRMATION (RFC 4254, section 5.1); `window` and `packet_most` are in bytes."""
+
     recipient: int
     sender: int
     window: int
@@ -163,6 +186,8 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenFailure:
+    """SSH_MSG_CHANNEL_OPEN_FAILURE (RFC 4254, section 5.1)."""
+
     recipient: int
     reason: int
     description: str
@@ -171,18 +196,24 @@
 
 @dataclass(frozen=True, slots=True)
 class WindowAdjust:
+    """SSH_MSG_CHANNEL_WINDOW_ADJUST (RFC 4254, section 5.2); `count` is in bytes."""
+
     recipient: int
     count: int
 
 
 @dataclass(frozen=True, slots=True)
 class Data:
+    """SSH_MSG_CHANNEL_DATA (RFC 4254, section 5.2)."""
+
     recipient: int
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ExtendedData:
+    """SSH_MSG_CHANNEL_EXTENDED_DATA (RFC 4254, section 5.2)."""
+
     recipient: int
     kind: int
     data: bytes
@@ -190,16 +221,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Eof:
+    """SSH_MSG_CHANNEL_EOF (RFC 4254, section 5.3)."""
+
     recipient: int
 
 
 @dataclass(frozen=True, slots=True)
 class Close:
+    """SSH_MSG_CHANNEL_CLOSE (RFC 4254, section 5.3)."""
+
     recipient: int
 
 
 @dataclass(frozen=True, slots=True)
 class ChannelRequest:
+    """SSH_MSG_CHANNEL_REQUEST (RFC 4254, section 5.4)."""
+
     recipient: int
     name: str
     want_reply: bool
@@ -208,11 +245,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ChannelSuccess:
+    """SSH_MSG_CHANNEL_SUCCESS (RFC 4254, section 5.4)."""
+
     recipient: int
 
 
 @dataclass(frozen=True, slots=True)
 class ChannelFailure:
+    """SSH_MSG_CHANNEL_FAILURE (RFC 4254, section 5.4)."""
+
     recipient: int
 
 
@@ -331,7 +372,7 @@
 
     @property
     def has_partial_open(self) -> bool:
-        """Whether that part is known to be of a CHANNEL_OPEN."""
+        """Whether part of a CHANNEL_OPEN has been fed, far enough to recognise it."""
         return (
             len(self._buffer) > PAYLOAD_OFFSET
             and _MESSAGE_CLASSES.get(self._buffer[PAYLOAD_OFFSET]) is ChannelOpen
--- a/puffinford/fronts/channels/connection.py
+++ b/puffinford/fronts/channels/connection.py
@@ -1,4 +1,4 @@
-"""One side's connection of a request over the channel front."""
+"""The connection of a request to its client or its server, over the channel front."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
         return Message(line)
 
     async def send(self, message: Message) -> None:
-        """Send a message whole; raises ConnectionBroken."""
+        """Send a complete message; raises ConnectionBroken."""
         if not self._channel.is_open:
             # The request ended before Up, and `abort` refuses the open.
             raise ConnectionBroken("channel not open")
@@ -72,7 +72,7 @@
             channel.multiplexer.refuse(channel, *encode_refusal(answer))
 
     async def move(self) -> None:
-        """Send the MOVE request, which tells the client to open a new channel."""
+        """Send the MOVE request, which asks the client to open a new channel."""
         await self._send_kind(MessageKind.MOVE)
 
     async def end_sending(self) -> None:
@@ -93,7 +93,7 @@
             await channel.wait_closed()
 
     async def abort(self) -> None:
-        """Send CLOSE without EOF, which the peer takes for a failure; refuse an unanswered open."""
+        """Send CLOSE without EOF, which the peer treats as a failure; or refuse an unanswered open."""
         channel = self._channel
         if channel.is_open:
             channel.close()
--- a/puffinford/fronts/channels/multiplexer.py
+++ b/puffinford/fronts/channels/multiplexer.py
@@ -54,8 +54,8 @@
         self.is_open = False  # the open was confirmed
         self.answered = anyio.Event()  # set when the open is answered or the connection lost
         self.cancelled = False
-        self.open_sent = False  # all of its open was written
-        self.on_sent: Callable[[], None] | None = None  # called then
+        self.open_sent = False  # whether all of the CHANNEL_OPEN has been written
+        self.on_sent: Callable[[], None] | None = None  # called when `open_sent` is set
         self.open_message: codec.ChannelOpen | None = None  # the open, if this end sent it
         self._receive_window = WINDOW_BYTES
         self._send_window = 0
@@ -69,7 +69,7 @@
         self._close_received = self._close_sent = False
         self.connection_lost = False
 
-    # For the request's connection
+    # Called by the request's ChannelConnection
 
     async def receive(self) -> bytes | codec.ChannelRequest:
         """Return the next data or request; raises PeerClosed after EOF, else ConnectionBroken."""
@@ -151,7 +151,7 @@
         return self._close_sent
 
     async def has_left(self) -> bool:
-        """Whether the peer has closed the channel or the connection, read or not."""
+        """Whether the peer has closed the channel or the connection, even if its FIN or RST is unread."""
         return (
             await self.multiplexer.peer_closed()
             or self._close_received
@@ -164,7 +164,7 @@
         self._close_received = True
         self._changed.set()
 
-    # For messages of the peer
+    # Called for messages of the peer
 
     def handle_confirmation(self, message: codec.OpenConfirmation) -> None:
         """Open the channel, or close it if its open was cancelled."""
@@ -244,7 +244,8 @@
 class Multiplexer:
     """Runs one connection and its channels.
 
-    `is_client` tells which end this is; `on_open` answers the peer's opens, which are refused without it.
+    `is_client` is true at the end that connected. `on_open` answers the peer's opens; without it they are
+    refused.
     """
 
     def __init__(
@@ -414,7 +415,7 @@
 
     @contextlib.contextmanager
     def _idle_timeout(self, timeout_ms: float) -> Iterator[Callable[[], object]]:
-        """Limit the block like `ConnectionTracker.evictable_wait`, or just in time without a tracker."""
+        """Limit the block like `ConnectionTracker.evictable_wait`, or by time only if there is no tracker."""
         with contextlib.ExitStack() as stack:
             if self._tracker is not None:
                 yield stack.enter_context(self._tracker.evictable_wait(timeout_ms))
@@ -538,7 +539,7 @@
             codec.REQUEST_CHANNEL, channel.local_id, WINDOW_BYTES, codec.MAX_PAYLOAD_BYTES, extra
         )
         self.enqueue(channel.open_message)
-        self._queued_messages.append(channel)  # marker: the writer sets `open_sent` when it gets here
+        self._queued_messages.append(channel)  # marker: the writer sets `open_sent` when it reaches this
         return channel
 
     def is_queued(self, channel: Channel) -> bool:
--- a/puffinford/fronts/channels/server.py
+++ b/puffinford/fronts/channels/server.py
@@ -24,7 +24,7 @@
 class ChannelServerConnector:
     """Opens channels to servers; `connect_timeout` is in ms.
 
-    `run` owns the connections; attempts before it fail with CONNECT_FAILED.
+    `run` owns the connections; attempts before it runs fail with CONNECT_FAILED.
     """
 
     def __init__(self, clock: Clock, budget: DescriptorBudget, connect_timeout: float) -> None:
