--- a/tests/harness.py
+++ b/tests/harness.py
@@ -70,12 +70,15 @@
         return line + b"\n"
 
     async def send_line(self, text: bytes) -> None:
+        """Send a line; its end is added."""
         await self.stream.send(text + b"\r\n")
 
     async def fin(self) -> None:
+        """Close the connection with FIN."""
         await self.stream.aclose()
 
     async def rst(self) -> None:
+        """Close the connection with RST."""
         raw = self.stream.extra(SocketAttribute.raw_socket)
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         await anyio.aclose_forcefully(self.stream)
@@ -97,10 +100,11 @@
         return self
 
     async def send_messages(self, *messages: codec.Message) -> None:
+        """Send the messages in one write."""
         await self.stream.send(b"".join(map(codec.encode, messages)))
 
     async def next(self, *, windows: bool = False) -> codec.Message | bytes:
-        """Return the next message that is no window adjustment, or b"FIN" or b"RST" at the end."""
+        """Return the next message, or b"FIN" or b"RST" at the end; `windows` includes window adjustments."""
         while True:
             while (payload := self._packets.next()) is None:
                 try:
@@ -131,7 +135,7 @@
 
 
 class StaticSource:
-    """A list source that sends nothing; `refreshable` is what its refresh() returns."""
+    """A list source that sends nothing; `refreshable` is the result of its refresh()."""
 
     def __init__(self) -> None:
         self.refreshable = False
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -51,7 +51,7 @@
 async def test_an_unreadable_request_is_answered_and_holds_nothing(payload: bytes) -> None:
     """A client that goes on sending is answered at once, and holds a descriptor until the linger times out.
 
-    Closing without a linger sent a RST that discarded the answer.
+    Closing without a linger would send a RST that discards the answer.
     """
     connections = 0
 
@@ -109,7 +109,7 @@
 
 
 async def test_a_request_that_every_server_answers_err_makes_no_server_unreachable() -> None:
-    """An id in use at another balancer is refused everywhere, which marked most servers unreachable."""
+    """Guards against marking servers unreachable for an id in use at another balancer, which all refuse."""
     async with harness() as here:
         for ident in ("s-1", "s-2", "s-3"):
             await here.server(ident, answering(b"ERR in use"))
@@ -164,7 +164,7 @@
 
 @pytest.mark.parametrize("front", ["lines", "channels"])
 async def test_silent_connections_give_way_to_those_that_ask(front: str) -> None:
-    """Silent connections held every descriptor, and no client was served."""
+    """Guards against silent connections that hold every descriptor, so that no client is served."""
     async with harness() as here:
         here.tracker.budget.limit = 96
         await here.server("s-1", echo)
@@ -186,7 +186,7 @@
 
 
 async def test_crowds_that_stop_half_way_do_not_displace_a_client_that_writes_slowly() -> None:
-    """The oldest connections were evicted, and with them a client whose line came in pieces over 2 s."""
+    """Guards against evicting the oldest connection first, even if its line is arriving over 2 s."""
     async with harness() as here:
         here.tracker.budget.limit = 96
         await here.server("s-1", echo)
@@ -208,7 +208,7 @@
 
 @pytest.mark.parametrize("front", ["lines", "channels"])
 async def test_a_request_begun_on_a_resting_connection_is_ended_within_three_seconds(front: str) -> None:
-    """Part of a request was given the idle timeout of 10 s."""
+    """Guards against waiting for the rest of a request for the idle timeout of 10 s."""
     for rested, trickle in ((100.0, False), (100.0, True), (PING_IDLE_TIMEOUT_MS - 100.0, True)):
         async with harness() as here:
             if front == "lines":
@@ -236,7 +236,7 @@
 
 
 async def test_thousands_of_lines_in_one_piece_leave_the_others_their_turn() -> None:
-    """All lines of a chunk were passed on before other tasks ran."""
+    """Guards against passing on all lines of a chunk before other tasks run."""
 
     class Flood:
         async def read(self) -> bytes:
@@ -260,7 +260,7 @@
 
 
 async def test_with_all_descriptors_in_use_newcomers_are_turned_away_and_the_others_go_on() -> None:
-    """They were closed with their request unread: a RST instead of a retry-after."""
+    """Guards against closing newcomers with their request unread: a RST instead of a retry-after."""
     async with harness() as here:
         here.tracker.budget.limit = 32 + 7
         await here.server("s-1", echo)
@@ -273,7 +273,9 @@
         await here.settle()
         quiet = [await here.client() for _ in range(30)]
         await here.settle()
-        assert here.tracker.budget.used <= 6 + MAX_CONCURRENT_REJECTIONS, "only a few use the reserve"
+        assert here.tracker.budget.used <= 6 + MAX_CONCURRENT_REJECTIONS, (
+            "only a few use reserved descriptors"
+        )
         here.clock.advance(REJECTION_READ_TIMEOUT_MS)
         for peer in quiet:
             assert await peer.line() in (b"FIN", b"RST")
@@ -304,7 +306,7 @@
 ) -> None:
     monkeypatch.setattr(
         multiplexer, "MAX_QUEUED_MESSAGES", 100
-    )  # the kernel's buffers would hold the default
+    )  # with the default limit, all answers would fit into the kernel's buffers
     async with harness() as here:
         client = await here.channel_client()
         asks = codec.encode(codec.GlobalRequest("what", True)) * 200
--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -122,7 +122,7 @@
 
 
 async def test_a_drain_that_arrives_while_a_channel_is_half_written() -> None:
-    """The line is sent whole before MOVE, however late the client opens its window."""
+    """The complete line is sent before MOVE, however late the client opens its window."""
     async with harness() as here:
         await here.server("s-1", answering(b"UP r1", b"0123456789", stay=True))
         client = await here.channel_client()
@@ -376,7 +376,7 @@
 
 
 async def test_a_connection_that_its_server_has_forgotten_is_replaced() -> None:
-    """Opens on it had no answer, and the server was unreachable until TCP gave up."""
+    """Guards against opens without an answer until TCP times out, which make the server unreachable."""
     connections: list[anyio.Event] = []
 
     async def script(peer: Peer) -> None:
@@ -411,7 +411,7 @@
 
 
 async def test_an_open_that_was_never_written_is_withdrawn_and_may_be_repeated() -> None:
-    """Queued for a server that did not read, it reached the server during the next attempt."""
+    """Guards against an open that is queued for a slow server and arrives during the next attempt."""
     go_on = anyio.Event()
     opened: list[str] = []
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -156,7 +156,7 @@
 async def test_no_attempt_begins_for_a_client_that_has_gone(
     front: str, how: str, server: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The opening was sent although the client's FIN had arrived, unread."""
+    """Guards against sending the opening when the client's FIN has arrived but has not been read."""
     gate, servers = Gate(monkeypatch), ScriptedServers()
     async with harness() as here:
         await servers.add_servers(here, server, "s-1", "s-2")
@@ -171,7 +171,7 @@
 
 @pytest.mark.parametrize("how", ["fin", "rst"])
 async def test_a_client_that_left_the_accept_queue_costs_no_server_a_connection(how: str) -> None:
-    """The process was suspended while the client connected, sent its request and left."""
+    """The process is suspended while the client connects, sends its request and leaves."""
     servers = ScriptedServers()
     async with harness() as here:
         await servers.add_servers(here, "lines", "s-1", "s-2")
@@ -187,7 +187,7 @@
 async def test_a_list_update_while_an_attempt_connects_holds_for_its_first_byte(
     update: str, server: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A connection may take longer to establish than the drain grace lasts."""
+    """A connection may take longer to establish than the drain grace."""
     gate, servers = Gate(monkeypatch), ScriptedServers()
     async with harness() as here:
         await servers.add_servers(here, server, "s-1")
@@ -293,7 +293,7 @@
 
 @pytest.mark.parametrize("rested", [FIRST_LINE_TIMEOUT_MS, PING_IDLE_TIMEOUT_MS])
 async def test_a_request_that_comes_as_its_time_runs_out_is_served(rested: float) -> None:
-    """It was answered ERR although its line had arrived."""
+    """Guards against answering ERR to a request whose line has arrived."""
     async with harness() as here:
         await here.server("s-1", echo)
         client = SyncClient(here.port)
@@ -312,7 +312,7 @@
 @pytest.mark.parametrize("size", [200, 1_000_000])
 @pytest.mark.parametrize("answer", ["ERR", "BUSY"])
 async def test_what_lies_unread_does_not_reset_the_last_answer(size: int, answer: str) -> None:
-    """Closing with unread input sends a RST, which failed the client's send before it read the answer."""
+    """Prevents closing with unread input: the RST fails the client's send before it reads an answer."""
     async with harness() as here:
         client = SyncClient(here.port)
         client.sock.setblocking(False)
@@ -338,7 +338,7 @@
 async def test_a_drain_refuses_only_what_may_be_tried_again(
     effect: Effect, sent: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """At the end of a drain BUSY went to requests that may have run, though it promises that they did not."""
+    """Guards against BUSY, which promises that a request has not run, for requests that may have run."""
     gate = Gate(monkeypatch)
     opening_received = anyio.Event()
 
@@ -435,7 +435,7 @@
 
 
 async def test_a_channel_that_is_opened_as_its_connections_time_runs_out_is_served() -> None:
-    """The unread open was discarded, and the connection closed as idle."""
+    """Guards against discarding the unread open and closing the connection as idle."""
     async with harness() as here:
         await here.server("s-1", echo)
         client = await here.channel_client()
@@ -448,7 +448,7 @@
 
 
 async def test_a_connection_that_both_sides_lose_at_once_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each direction left the completion to the other, and the request was never removed."""
+    """Guards against each direction leaving the completion to the other, which would keep the request."""
     write = anyio.Event()
 
     async def script(peer: Peer) -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -27,7 +27,7 @@
 async def test_silent_connections_leave_descriptors_for_calls_a_reload_and_a_client(
     configured: int, tmp_path: Path
 ) -> None:
-    """Where the system allowed fewer descriptors than configured, idle connections took the reserve."""
+    """Guards against idle connections on reserved descriptors if the system allows fewer than configured."""
     discovery_up = anyio.Event()
     calls: list[bytes] = []
     async with harness() as here:
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -201,7 +201,7 @@
 
 
 async def test_notes_of_delay_turn_new_connections_away_from_a_slow_server() -> None:
-    """Delays in LOAD lines were taken for loads, and no new connection avoided the slow server."""
+    """Guards against treating delays in LOAD lines as loads, which new connections do not avoid."""
 
     async def slow(peer: Peer) -> None:
         await peer.line()
@@ -222,7 +222,7 @@
 
 
 async def test_a_silent_connection_is_moved_within_seven_seconds() -> None:
-    """A client may send its line 2 s after the server fell silent, so 5 s from that line are too late."""
+    """The client may send its line 2 s after the server went silent, so 5 s after that line is too late."""
 
     async def script(peer: Peer) -> None:
         await peer.line()
@@ -244,7 +244,7 @@
 
 
 async def test_all_clients_of_a_server_that_vanished_are_moved_together() -> None:
-    """Each waited for a timeout from its own line, and those that had sent nothing waited longer."""
+    """Guards against a separate timeout for each client, which is longer for those that have sent nothing."""
 
     async def script(peer: Peer) -> None:
         await peer.line()
@@ -325,7 +325,7 @@
     ],
 )
 async def test_the_watch_takes_lists_and_survives_garbage(body: str | None, taken: list[str] | None) -> None:
-    """Version 0 taken for no version turned the watch into calls for the full list."""
+    """Guards against treating version 0 as no version, which replaces the watch with full requests."""
     calls: list[bytes] = []
     lists: list[ServerEntries | None] = []
     list_taken, called_again = anyio.Event(), anyio.Event()
@@ -352,7 +352,7 @@
         await anyio.wait_all_tasks_blocked()
         watch.subscribe(True)
         await list_taken.wait()
-        # The first call must not wait for an update of the known list, which delayed readiness by 5 s.
+        # The first call must not wait for an update of the known list, which would delay readiness by 5 s.
         assert calls[0] == b"GET /v1/servers?index=0&wait=0 HTTP/1.1\r\n"
         if taken:
             await called_again.wait()
@@ -384,7 +384,7 @@
 
 
 def test_an_entry_with_a_number_beyond_all_is_rejected_by_itself() -> None:
-    """An OverflowError of the conversion stopped the process."""
+    """Guards against an OverflowError of the conversion that stops the process."""
     field_sets: list[dict[str, Any]] = [
         {"weight": HUGE},
         {"started_ms": HUGE},
@@ -405,7 +405,7 @@
 
 
 def test_an_entry_whose_text_no_encoding_holds_is_rejected_by_itself() -> None:
-    """JSON may escape half a surrogate pair, which the store cannot encode and which stopped the process."""
+    """Guards against an escaped lone surrogate, which the store cannot encode, stopping the process."""
     valid = {"id": "s-1", "addr": "127.0.0.1:1"}
     for field in ("id", "zone", "kind"):
         bad = {**valid, "id": "s-2", field: "\ud800"}
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -25,7 +25,7 @@
             process.send_signal(signum)
             await here.running.wait_for_log(b"event=(reloaded|stopping)")
         newcomer, answer = await here.connect("late")
-        assert answer == b"UP r1\r\n", "arrivals are served on"
+        assert answer == b"UP r1\r\n", "new clients are still served"
         for peer in (newcomer, *(peer for peer, _ in clients)):
             assert [await peer.line(), await peer.line()] == [b"MOVE\r\n", b"FIN"]
             await peer.fin()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -17,8 +17,7 @@
 pytestmark = pytest.mark.anyio
 
 
-# Call, error and the fraction of calls that fail. Seven failures in a row of a `send` or `recv`, which would
-# end its retries, have a probability of one in ten million.
+# Call, error and the fraction of calls that fail, low enough that a call's retries do not all fail.
 SHORTAGES = [
     ("connect", "EADDRNOTAVAIL", 0.3),
     ("connect", "ENETUNREACH", 0.3),
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -24,7 +24,7 @@
 
 
 async def silent(peer: Peer) -> None:
-    """A server that reads openings and never answers."""
+    """Read openings as a server that never answers."""
     while await peer.line() not in (b"FIN", b"RST"):
         pass
 
@@ -101,7 +101,7 @@
 
 
 async def flooding(peer: Peer) -> None:
-    """A server that writes long lines without pause."""
+    """Write long lines without pause, as a server."""
     await peer.line()
     await peer.send_line(b"UP r1")
     with contextlib.suppress(anyio.BrokenResourceError):
@@ -110,7 +110,7 @@
 
 
 async def test_move_comes_between_two_lines_of_a_server_that_writes_on(tmp_path: Path) -> None:
-    """The client may be behind in reading; one that never reads is closed in time."""
+    """The client may read slowly. A client that never reads is closed in time."""
     async with site(tmp_path, server_count=0, custom_servers=[flooding]) as here:
         parameters = b"c=price-lookup,t=a,d=2000,g=5c"
         reading, late, never = [await ask(here, request_id, parameters) for request_id in ("0a", "0b", "0c")]
@@ -135,7 +135,7 @@
 
 
 async def ending(peer: Peer, how: str) -> None:
-    """A server that answers one line, then closes, resets or ignores the connection."""
+    """Answer one line as a server, then close, reset or ignore the connection."""
     await peer.line()
     await peer.send_line(b"UP r1")
     await peer.stream.send(await peer.line())
@@ -200,7 +200,7 @@
 async def test_new_configurations_in_quick_succession_move_discovery_in_four_seconds(
     mode: str, tmp_path: Path
 ) -> None:
-    """Five reloads 20 ms apart: a hanging discovery, a truncated file, and one that answers after 3 s."""
+    """Five reloads, 20 ms apart, switch between a hanging discovery and another. One file is truncated."""
     async with site(tmp_path, discovery="subscribe") as here:
         config = tmp_path / "config.json"
         contents = json.loads(config.read_text())
@@ -259,7 +259,7 @@
             assert await here.connect_many(1, place) == {"UP": 1}
 
 
-COLD_BUDGET = 8  # connections per second: 1.7 on average at its start, plus random variation
+COLD_BUDGET = 8  # connections per second to a server at its start, with random variation
 
 
 async def test_a_server_whose_cordon_is_taken_back_is_cold_for_every_client(tmp_path: Path) -> None:
@@ -273,7 +273,7 @@
         assert (await http_call(address, "POST /admin/cordon/s-1"))[0] == 200
         out = here.openings["s-1"]
         await here.connect_many(30, "b")
-        assert here.openings["s-1"] == out, "nothing new while it is out"
+        assert here.openings["s-1"] == out, "no new connections while cordoned"
         assert (await http_call(address, "POST /admin/uncordon/s-1"))[0] == 200
         back = anyio.current_time()
         while anyio.current_time() < back + 0.9:
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -18,7 +18,7 @@
 from tests.processes import site, unix_ms
 
 HOUR = 3_600.0
-BUDGET = 8  # connections per second to a cold server: 1.7 on average at its start, plus random variation
+BUDGET = 8  # connections per second to a server at its start, with random variation
 
 
 @pytest.mark.anyio
@@ -67,7 +67,7 @@
         await here.restart(step)
         await here.running.wait_for_log(b"event=discovery version")
         assert await here.connect_many(60) == {"UP": 60}, "the others are warm"
-        assert here.openings["s-2"] <= BUDGET, "it is cold still"
+        assert here.openings["s-2"] <= BUDGET, "it is still cold"
         here.discovery.set_mode("absent")
         await here.restart(0.0)
         found = re.search(rb"event=restored source=store .*age_s=([\d.]+)", here.running.log_read)
@@ -92,7 +92,7 @@
 def test_each_start_is_one_moment_and_later_ones_come_later(
     starts_of_server: list[tuple[float, bool, float]],
 ) -> None:
-    """A server restarts several times; its clock follows the steps of the local clock or not."""
+    """A server restarts several times, and its clock may follow the steps of the local clock."""
     clock = SteppedClock(start=1e9)
     starts = StartTimes(clock)
     moments: list[float] = []
@@ -102,7 +102,7 @@
         unix_ms = clock.now() + (step if follows else 0.0)
         moments.append(starts.local_time("s-1", unix_ms))
         assert clock.now() - SAME_START_TOLERANCE_MS <= moments[-1] <= clock.now(), (
-            "listed immediately, so it is young"
+            "a start that is listed at once must be recent"
         )
         clock.ahead = -step
         assert starts.local_time("s-1", unix_ms) == moments[-1]
