--- a/tests/test_channels.py
+++ b/tests/test_channels.py
@@ -411,7 +411,7 @@
 
 
 async def test_an_open_that_was_never_written_is_withdrawn_and_may_be_repeated() -> None:
-    """Guards against an open that is queued for a slow server and arrives during the next attempt."""
+    """Guards against an open that a server reads late, during the next attempt, because it was queued."""
     go_on = anyio.Event()
     opened: list[str] = []
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -312,7 +312,7 @@
 @pytest.mark.parametrize("size", [200, 1_000_000])
 @pytest.mark.parametrize("answer", ["ERR", "BUSY"])
 async def test_what_lies_unread_does_not_reset_the_last_answer(size: int, answer: str) -> None:
-    """Prevents closing with unread input: the RST fails the client's send before it reads an answer."""
+    """Guards against a RST for unread input, which fails the client's send before it reads the answer."""
     async with harness() as here:
         client = SyncClient(here.port)
         client.sock.setblocking(False)
