--- a/puffinford/management/http.py
+++ b/puffinford/management/http.py
@@ -46,6 +46,7 @@
         self._tracker = tracker
 
     async def handle(self, stream: TcpStream) -> None:
+        """Read one call, answer it and end the connection."""
         connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         with (
             self._tracker.evictable_wait(CALL_TIMEOUT_MS) as on_data,
--- a/puffinford/management/versions.py
+++ b/puffinford/management/versions.py
@@ -42,7 +42,7 @@
 
 
 class VersionRegistry:
-    """This process among the processes of its balancer.
+    """Registers this process, and reads the records of the balancer's other processes.
 
     `path` is the prefix of the files; None for a balancer that always has a single process.
     """
@@ -53,10 +53,10 @@
         self._slot = -1
         self._view: mmap.mmap | None = None
         self._number = 1
-        self._file = -1  # descriptor, open and locked to the end of the process
+        self._file = -1  # descriptor, open and locked until the process ends
 
     def register(self) -> None:
-        """Claim a slot for this process; raises OSError if all are in use."""
+        """Take a slot for this process; raises OSError if all are in use."""
         if self._path is None:
             return
         with locked(self._path.with_name(self._path.name + ".lock")):
@@ -116,10 +116,12 @@
     # Published to the other processes
 
     def publish_ready(self, ready: bool) -> None:
+        """Record whether this process is ready."""
         if self._view is not None:
             struct.pack_into("=I", self._view, _READY_OFFSET, ready)
 
     def publish_sockets(self, sockets: int) -> None:
+        """Record how many counted sockets this process has open."""
         if self._view is not None:
             struct.pack_into("=I", self._view, _DESCRIPTORS_OFFSET, sockets + OWN_DESCRIPTORS)
 
--- a/puffinford/operators/lines.py
+++ b/puffinford/operators/lines.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 MAX_FILE_BYTES = 1 << 20
-MAX_FILES = 256  # included files count
+MAX_FILES = 256  # including the included ones
 MAX_INCLUDE_DEPTH = 8
 
 _GRAMMAR = r"""
--- a/puffinford/rebalance/pace.py
+++ b/puffinford/rebalance/pace.py
@@ -46,9 +46,7 @@
     min_rate: float = 0.2
     max_rate: float = 10.0
     increment: float = 0.1  # added for each return in time
-    cooldown: float = (
-        5_000.0  # after a decrease without growth, and without moves if it was a stopping signal
-    )
+    cooldown: float = 5_000.0  # after a decrease: no growth; after a stopping signal, no moves either
 
 
 class Pace:
--- a/puffinford/rebalance/planner.py
+++ b/puffinford/rebalance/planner.py
@@ -21,7 +21,7 @@
 MIN_LOAD = 8.0  # own load, in average connections, below which nothing is balanced
 MIN_GAIN_FRACTION = 0.25  # of a connection's load: the least reduction of the higher utilization by a move
 NOISE_STANDARD_DEVIATIONS = 0.5  # of sampling noise that do not count as imbalance
-MIN_CAPACITY = 0.02  # lower bound of a server's capacity in ratios
+MIN_CAPACITY = 0.02  # lower bound for the capacity in a utilization; prevents a division by zero
 
 
 class SkipReason(Enum):
@@ -53,7 +53,7 @@
     stop_ratio: float = 1.1  # imbalance at which it stops
     settle_time: float = 3_000.0  # how long the imbalance must last before moving starts
     move_cooldown: float = 60_000.0  # after a move, before the client is moved again
-    return_cooldown: float = 10_000.0  # the same after a return from a crash or another balancer's move
+    return_cooldown: float = 10_000.0  # the same for a client that was cut off, or moved by another balancer
     min_age: float = 3_000.0  # of a connection that is moved
     reservation_time: float = 2_500.0  # how long the target reserves a slot for a moved client
     return_deadline: float = 1_000.0  # time to UP above which a return counts as slow
@@ -105,7 +105,7 @@
 
 @dataclass
 class RecentMove:
-    """A past move of a client."""
+    """A past move of a client; `moved_at` is ms."""
 
     moved_at: float
     sources: tuple[str, ...]  # servers it was moved from; it is not moved back to them
@@ -250,7 +250,10 @@
         return above_mean
 
     def underloaded(self) -> frozenset[str]:
-        """Return the servers preferred for returning clients while moving: those below the band."""
+        """Return the servers preferred for returning clients while moving.
+
+        These are below the mean by more than `stop_ratio` is above it.
+        """
         if not self.moving or self.paused or not self.settings.enabled:
             return frozenset()
         threshold = self._mean * (2.0 - self.settings.stop_ratio)
--- a/puffinford/relay/admission.py
+++ b/puffinford/relay/admission.py
@@ -12,6 +12,8 @@
 
 
 class AdmissionResult(Enum):
+    """What becomes of a request to write an answer."""
+
     ADMITTED = "now"
     QUEUED = "later"  # returned later by `admit_queued` or by `remove_expired`
     REJECTED = "never"  # the queue is full
@@ -27,6 +29,9 @@
     """Admits answers in arrival order. With nothing in flight, one answer is admitted whatever its size."""
 
     def __init__(self, max_bytes: int, max_queued: int, queue_timeout: float) -> None:
+        """`max_bytes` limits the answers in flight, `max_queued` the callers that wait for at most
+        `queue_timeout` ms.
+        """
         self._max_bytes = max_bytes
         self._max_queued = max_queued
         self._queue_timeout = queue_timeout
@@ -36,6 +41,7 @@
 
     @property
     def queue_length(self) -> int:
+        """The number of queued callers."""
         return len(self._queue)
 
     def request(self, caller: Hashable, size: int, now: float) -> AdmissionResult:
@@ -49,7 +55,7 @@
         return AdmissionResult.QUEUED
 
     def release(self, caller: Hashable) -> None:
-        """Free what the caller holds: its answer is written, or it has disconnected."""
+        """Free a caller's bytes and its place in the queue: its answer is written, or it has disconnected."""
         self.bytes_in_flight -= self._in_flight.pop(caller, 0)
         self._queue.pop(caller, None)
 
--- a/puffinford/relay/answers.py
+++ b/puffinford/relay/answers.py
@@ -28,6 +28,7 @@
         self.cached_bytes = 0
 
     def clear(self) -> None:
+        """Remove all answers."""
         self._cached.clear()
         self.cached_bytes = 0
 
--- a/puffinford/relay/changes.py
+++ b/puffinford/relay/changes.py
@@ -21,12 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
+    """The latest change of a server: the version that holds it, and the entry's JSON."""
+
     version: int
     data: bytes
 
 
 class ChangeLog:
-    """The list, the log, and changes for the worse from unconfirmed answers, which belong to no version."""
+    """The list, its log, and drains and removals from unconfirmed answers, which belong to no version."""
 
     def __init__(self, limits: LogLimits) -> None:
         self._limits = limits
@@ -66,7 +68,7 @@
         return updated
 
     def apply_unconfirmed(self, entries: list[RawEntry]) -> bool:
-        """Apply changes for the worse from a suspect answer. Return whether any of them is new.
+        """Apply drains and removals from a suspect answer. Return whether any of them is new.
 
         They are sent to every caller until the next trusted answer.
         """
@@ -95,7 +97,7 @@
 
     def _apply_snapshot(self, answer: RawList) -> bool:
         if self.version is None or answer.version < self.version or not answer.entries:
-            # A first list, a source that was set back, or an empty list: no logged change leads to it.
+            # A first list, an older version or an empty list: callers with an earlier list need the full one.
             self._reset(answer)
             return True
         listed = {entry.id: entry for entry in answer.entries}
--- a/puffinford/relay/coalescing.py
+++ b/puffinford/relay/coalescing.py
@@ -4,7 +4,7 @@
 
 
 class CoalescingWindow:
-    """Opened by the first pending update; closes a fixed time later, whatever arrives meanwhile."""
+    """Opened by the first pending update; closes `duration` ms later, whatever arrives meanwhile."""
 
     def __init__(self, duration: float) -> None:
         self._duration = duration
--- a/puffinford/relay/core.py
+++ b/puffinford/relay/core.py
@@ -1,4 +1,4 @@
-"""Decisions of a relay: what each call is answered, and when. No I/O; the caller passes the time, in ms.
+"""Decisions of a relay: how and when each call is answered. No I/O; the caller passes the time, in ms.
 
 The age of the list is checked whenever an answer is made, so a process resumed after a suspension does not
 serve its outdated list.
@@ -23,7 +23,7 @@
 MIN_LONG_ANSWER_BYTES = 65_536  # shorter answers bypass admission control
 MAX_IN_FLIGHT_BYTES = 32 << 20
 MAX_QUEUED_CALLERS = 4_096
-QUEUE_TIMEOUT_MS = 800.0  # balancers hedge a call after 1,000 ms
+QUEUE_TIMEOUT_MS = 800.0  # less than the 1,000 ms after which balancers hedge a call
 MAX_OBSOLETE_DEADLINES = 4_096
 CONFIRMATION_MARGIN_MS = 100.0
 
@@ -158,7 +158,7 @@
         self._admission.release(caller)
 
     def take_due(self, now: float, limit: int) -> list[Response]:
-        """Return about `limit` responses that are due; to be repeated until there are none."""
+        """Return about `limit` responses that are due. Call it again until none are returned."""
         if not self.staleness.is_fresh(now):
             return self._refuse_waiting(limit)
         if self._coalescing.close_if_due(now):
@@ -221,7 +221,8 @@
             self._deadlines.clear()
         return [self._refuse(caller) for caller in callers]
 
-    # Calls with a version above the relay's: the relay lags or was restarted, or the source was set back
+    # Calls with a version above the relay's: the relay lags or was restarted, or the source went back to an
+    # older version
 
     def _wait_for_version(self, caller: Hashable, index: int, wait: float, now: float) -> None:
         self.counters.ahead_calls += 1
@@ -243,7 +244,7 @@
                 if ahead.index != version and not self._coalescing.is_open:
                     self._ready.append(caller)
             elif caught_up or confirmed_at > ahead.arrived_at:
-                # If not caught up: the list was confirmed after the call arrived, so the source was set back.
+                # If not caught up: the list was confirmed after the call arrived, so the source's is older.
                 del self._ahead[caller]
                 responses.append(self._answer(caller, ahead.index, now))
             elif now >= ahead.deadline:
--- a/puffinford/relay/entries.py
+++ b/puffinford/relay/entries.py
@@ -84,8 +84,8 @@
 class RawVerdict:
     """What to apply of an answer (None: nothing), and the version to resume from (None: request all).
 
-    A non-empty `note` says why the answer is suspect; `accepted` then holds only changes for the worse, under
-    the current version.
+    A non-empty `note` says why the answer is suspect; `accepted` then holds only drains and
+    removals, under the current version.
     """
 
     accepted: RawList | None
--- a/puffinford/relay/server.py
+++ b/puffinford/relay/server.py
@@ -30,6 +30,8 @@
 
 
 class CallerState(Enum):
+    """The state of a connection."""
+
     READING = "reading"  # the call is incomplete
     WAITING = "waiting"  # the answer is not due yet
     WRITING = "writing"  # the answer is partly written
--- a/puffinford/relay/service.py
+++ b/puffinford/relay/service.py
@@ -28,7 +28,7 @@
 MAX_RESPONSES_PER_TURN = 128  # written in a row before other events are handled
 STATISTICS_INTERVAL_MS = 10_000.0  # also the minimum between warnings about a suspect upstream
 RESERVED_DESCRIPTORS = 64  # for everything but callers
-# Shorter than a balancer's: relays are few, and their lists age while upstream is not reached.
+# Shorter than a balancer's: relays are few, and their lists age while upstream is unreachable.
 RETRY_POLICY = RetryPolicy(initial_window=250.0, max_window=1_000.0)
 
 
@@ -59,7 +59,9 @@
 class RelayStatistics:
     """Current values and totals since the start; the field names are keys in the log.
 
-    `held` and `bytes` are bytes, `age` is ms.
+    `age` is in ms, `held` the bytes buffered for answers, `whole` the number of full answers, `bytes` the
+    size of all answers, `behind` the number of calls with a version above the relay's, and `slow` the number
+    of connections that timed out.
     """
 
     version: int | None
@@ -157,6 +159,7 @@
         self._is_fresh, self._freshness_changed_at = is_fresh, now
 
     def statistics(self) -> RelayStatistics:
+        """Return the current statistics."""
         relay, counters, limits = self.relay, self.relay.counters, self.server.limits
         return RelayStatistics(
             relay.change_log.version,
--- a/puffinford/relay/staleness.py
+++ b/puffinford/relay/staleness.py
@@ -19,7 +19,7 @@
 
     def confirm(self, sent_at: float, wait: float, received_at: float, unchanged: bool) -> None:
         """Record a trusted answer to a call that asked to wait `wait`; `unchanged` if it holds no changes."""
-        # A source may end a wait early: its answer then proves no more than the time of the call.
+        # A source may end a wait early: its answer then confirms the list only as of the call.
         waited = wait if unchanged and received_at >= sent_at + wait else 0.0
         self.confirmed_at = max(self.confirmed_at, sent_at + waited)
 
--- a/puffinford/server_list/entries.py
+++ b/puffinford/server_list/entries.py
@@ -13,7 +13,7 @@
 
 STATES_BY_NAME = {"active": ServerState.LIVE, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 FRONT_NAMES = ("lines", "channels")
-MAX_NUMBER = 1 << 53  # in an entry: the largest integer up to which floats are exact
+MAX_NUMBER = 1 << 53  # in an entry; floats hold every integer up to it exactly
 MAX_VERSION = (1 << 63) - 1  # of a list: the largest that the state store holds
 
 
--- a/puffinford/server_list/inventory.py
+++ b/puffinford/server_list/inventory.py
@@ -171,10 +171,12 @@
         return False
 
     def subscribe(self, on: bool) -> None:
+        """Read the file if `on`; `run` checks it for changes in either case."""
         if on:
             self.fetch()
 
     async def run(self) -> None:
+        """Read the file, and again after each change, until cancelled."""
         self.fetch()
         while True:
             await self._clock.sleep(POLL_INTERVAL_MS)
--- a/puffinford/server_list/watch.py
+++ b/puffinford/server_list/watch.py
@@ -1,7 +1,7 @@
 """Long-polling watch of a list over HTTP/1.1, with hedged calls ("The Tail at Scale", Dean and Barroso 2013).
 
-One call follows another. A call that is overdue is not waited for alone: a second call, which does not wait
-for a change, is made to another endpoint. The decoder, the timing and the endpoints are parameters, so that a
+Calls follow one another. When a call is overdue, a second one (the hedge), which does not wait for a change,
+is made to another endpoint. The decoder, the timing and the endpoints are parameters, so that a
 balancer watching discovery, a balancer watching relays and a relay watching its source share this code.
 """
 
@@ -24,7 +24,9 @@
 log = logging.getLogger(__name__)
 
 MAX_CONCURRENT_CALLS = 3  # discovery may queue a call for 3 s, so an overdue one is not cancelled at once
-MIN_UNCHANGED_INTERVAL_MS = 100.0  # between answers without a change; below the 200 ms that end a watch
+MIN_UNCHANGED_INTERVAL_MS = (
+    100.0  # between answers without a change; below the gap of 200 ms that ends a watch
+)
 MOVED_RETRY_DURATION_MS = 4_000.0  # after a change of endpoints, failed calls are repeated here for this long
 MOVED_RETRY_MS = 250.0
 AGENT_RETRY_MS = 150.0  # a watch counts as uninterrupted if the next call follows within 200 ms
@@ -42,7 +44,9 @@
     """A decoded answer."""
 
     @property
-    def version(self) -> int: ...
+    def version(self) -> int:
+        """The version of the list."""
+        ...
 
     @property
     def size(self) -> int:
@@ -76,6 +80,7 @@
 
     @property
     def path(self) -> str:
+        """The target of the HTTP request."""
         if self.index is None:
             return LIST_PATH
         return f"{LIST_PATH}?index={self.index}&wait={self.wait:.0f}"
@@ -99,17 +104,17 @@
     suspected_at: float
 
     def is_repeated_by(self, received: ReceivedAnswer[Answer]) -> bool:
-        """Whether an answer is as old and from the same endpoint.
+        """Whether an answer from the same endpoint is older than the held list too.
 
-        Prevents one relay that was restarted with an older list from replacing a newer one: it is not
-        believed until the other endpoints have been silent for SUSPECT_DURATION_MS.
+        Prevents one relay that was restarted with an older list from replacing a newer one: its list is
+        rejected until SUSPECT_DURATION_MS have passed without an answer from another endpoint.
         """
         older = received.answer.version < self.held_version and received.list_call.endpoint == self.endpoint
         return older and received.received_at < self.suspected_at + SUSPECT_DURATION_MS
 
 
 class ListWatch(Generic[Answer]):
-    """Calls a list service again and again while subscribed."""
+    """Calls a list service repeatedly while subscribed."""
 
     def __init__(
         self,
@@ -144,6 +149,7 @@
         self._tasks: anyio.abc.TaskGroup | None = None
 
     async def run(self) -> None:
+        """Make the calls that are requested, until cancelled."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             if self._always_subscribed:
@@ -151,6 +157,7 @@
             await anyio.sleep_forever()
 
     def subscribe(self, on: bool) -> None:
+        """Start the watch, or stop it."""
         if on and self._watch_scope is not None:
             return  # discovery answers one call at a time, so there is one watch
         self._stop()
@@ -183,6 +190,7 @@
         return True
 
     def fetch(self) -> None:
+        """Ask for the full list once, beside the watch."""
         if self._tasks is not None:
             self._tasks.start_soon(self._fetch_once, None, 0)
 
--- a/puffinford/state/keeper.py
+++ b/puffinford/state/keeper.py
@@ -423,7 +423,7 @@
                 self._write_soon = anyio.Event()
                 if self._become_writer(self._store):
                     if self._clock.now() - self._health_collected_at >= self._settings.write_every:
-                        # An urgent write of the list does not make health and progress be written more often.
+                        # Prevents urgent writes of the list from writing health and progress more often too.
                         self._collect_health()
                         self._collect_pace()
                         self._forget_departed()
--- a/puffinford/state/list_client.py
+++ b/puffinford/state/list_client.py
@@ -67,9 +67,10 @@
         seed: int,
         relays: Sequence[tuple[str, int]] = (),
     ) -> None:
-        """Use discovery as the source; `always_subscribed` where changes are announced without a request.
+        """Use discovery as the source.
 
-        `relays` are called in place of discovery, the preferred one first.
+        With `always_subscribed`, changes are announced without a subscription. `relays` are called in place
+        of discovery, the preferred one first.
         """
         rng = random.Random(seed ^ _WATCH_SEED_MASK)
         self.source = DiscoveryWatch(
--- a/puffinford/state/records.py
+++ b/puffinford/state/records.py
@@ -2,7 +2,7 @@
 
 A value consists of a header and a msgpack payload. The header holds an xxHash (XXH3, 64 bits) over key,
 schema, time and payload, the schema number, and the Unix time in ms at which the source last confirmed the
-record. A corrupted record, or one under a wrong key, is thereby detected on its own.
+record. This detects a corrupted record, and one under a wrong key, without the other records.
 """
 
 from __future__ import annotations
--- a/puffinford/state/recovery.py
+++ b/puffinford/state/recovery.py
@@ -199,7 +199,8 @@
     """Holds the current list, and validates each answer against it.
 
     Drains and removals are accepted from any answer, since they take effect as soon as they are announced.
-    Anything else in an answer older than the current list is accepted only when a second answer repeats it.
+    Anything else in an answer older than the current list is ignored at first. A full list is requested,
+    and accepted even if it is older too.
     """
 
     def __init__(self, version: int | None = None, entries: list[ServerEntry] | None = None) -> None:
--- a/puffinford/state/store.py
+++ b/puffinford/state/store.py
@@ -41,7 +41,7 @@
 
 
 class Verdict(IntEnum):
-    """The result of reading a store in a child process, which is its exit code."""
+    """The result of reading a store in a child process; the values are its exit codes."""
 
     SOUND = 0
     UNREADABLE = 10
--- a/puffinford/state/timeline.py
+++ b/puffinford/state/timeline.py
@@ -43,7 +43,7 @@
         return self._clock.now() + self.offset
 
     def resume(self, stored: StoreContents) -> bool:
-        """Adopt the time base of a store written in this boot; return whether it was.
+        """Adopt the time base of a store if it was written in this boot; return whether it was adopted.
 
         A list confirmed in the future was written by a different monotonic clock, even with the same boot id.
         """
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -100,7 +100,7 @@
 
 
 class FileFaults:
-    """Makes the n-th call on files from now on fail with EIO; `left` counts down to it."""
+    """Makes one call on files fail with EIO, after `left` calls that succeed."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self.left = -1
--- a/tests/test_relay_processes.py
+++ b/tests/test_relay_processes.py
@@ -1,4 +1,4 @@
-"""LinkRelays and balancers as real processes on loopback, with faults in and between them."""
+"""List relays and balancers as real processes on loopback, with faults in and between them."""
 
 from __future__ import annotations
 
