--- a/puffinford/rebalance/pace.py
+++ b/puffinford/rebalance/pace.py
@@ -53,7 +53,7 @@
     """The rate of moves of one balancer, and the time of its next move."""
 
     def __init__(self, settings: PaceSettings, rng: random.Random, return_weight: int = 1) -> None:
-        """One return in `return_weight` is seen by this balancer, and represents all of them."""
+        """This balancer sees one return in `return_weight`, and counts it as that many."""
         self.settings = settings
         self.return_weight = max(1, return_weight)
         self.rate = settings.start_rate
--- a/puffinford/rebalance/service.py
+++ b/puffinford/rebalance/service.py
@@ -147,7 +147,7 @@
         return moves
 
     def _move_one(self, now: float) -> bool:
-        """Make one move; return whether there was one to make."""
+        """Make one move if there is one; return whether it was made."""
         for source in self.planner.sources()[:MAX_SOURCES_PER_ROUND]:
             sample = [
                 Candidate(
--- a/puffinford/relay/core.py
+++ b/puffinford/relay/core.py
@@ -79,7 +79,7 @@
 
 
 class ListRelay:
-    """The list, the calls that wait for it to change, and the responses that are due."""
+    """The list, the calls that wait for a change, and the responses to send now."""
 
     def __init__(self, parameters: RelayParameters) -> None:
         self.counters = RelayCounters()
--- a/puffinford/server_list/discovery.py
+++ b/puffinford/server_list/discovery.py
@@ -41,7 +41,7 @@
 
 log = logging.getLogger(__name__)
 
-DIRECT_TIMING = WatchTiming()  # after a failure the decision module schedules the next call
+DIRECT_TIMING = WatchTiming()  # no retry policy: after a failure the decision module schedules the next call
 RELAYED_TIMING = WatchTiming(wait=1_500, retry=RetryPolicy())
 WATCH_WAIT_MS = DIRECT_TIMING.wait
 ANSWER_GRACE_MS = DIRECT_TIMING.answer_grace
--- a/puffinford/state/records.py
+++ b/puffinford/state/records.py
@@ -68,7 +68,7 @@
 
 
 class HealthRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What was learned about one server. Times are Unix ms; 0 means never."""
+    """What was learned about one server. Times are Unix ms; 0 means never. `delay` is in ms."""
 
     id: Text
     failures: Annotated[int, msgspec.Meta(ge=0)] = 0
@@ -77,7 +77,7 @@
     slow_until: NonNegative = 0.0
     late_report_at: NonNegative = 0.0
     delay: NonNegative = 0.0
-    capacity_estimate: float = -1.0  # negative: unknown
+    capacity_estimate: float = -1.0  # in mean connections; negative: unknown
     capacity_estimated_at: NonNegative = 0.0
     cold_since: NonNegative = 0.0
 
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -85,7 +85,7 @@
         if endpoints.choose(now) == RELAYS[0]:
             attempts_at.append(now)
             endpoints.record_failure(RELAYS[0], now)
-            assert endpoints.choose(now + 1e9) == RELAYS[1], "not before the other relay has answered"
+            assert endpoints.choose(now + 1e9) == RELAYS[1], "no return before the other relay has answered"
             endpoints.record_answer(RELAYS[1], now)
         now += 500.0
     assert 15 <= len(attempts_at) <= 45
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -240,7 +240,7 @@
 
 
 class Moving(RuleBasedStateMachine):
-    """Four servers and one planner, whose rules hold for any sequence of events."""
+    """Four servers and one planner: the rules for moves hold for any sequence of events."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -137,7 +137,7 @@
     fleet.dispatch(ServerList(ListKind.UPDATE, [Server("b", started=fleet.now)]))
     for n in range(60):
         fleet.dispatch(it.Relocate(f"j{n}", "b", 2_000.0))
-    assert len(fleet.moved) <= 2, "no more than the budget of that moment"
+    assert len(fleet.moved) <= 2, "no more than the current budget of a cold server"
 
 
 def test_a_reservation_at_a_server_that_left_is_void() -> None:
@@ -370,7 +370,7 @@
 
 
 async def test_the_measured_story_in_short(tmp_path: Path) -> None:
-    """With two of ten servers restarted, the rules hold at any speed of the host."""
+    """Checks only what holds at any speed of the host, with two of ten servers restarted."""
     result = await anyio.to_thread.run_sync(partial(story.run, True, tmp_path, 1, 60, 60_000.0, 3.0, 9.0))
     assert not result.broken and not result.cold and not result.cut
     assert result.moves > 0
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -51,7 +51,7 @@
 def test_what_follows_the_log_from_any_version_holds_the_list(
     steps: Any, max_entries: int, as_full_lists: bool
 ) -> None:
-    """Includes short logs, and sources that send each change as a full list."""
+    """Covers short logs, and sources that send each change as a full list."""
     log = ChangeLog(LogLimits(max_entries, 1 << 20))
     expected: dict[str, str] = {}
     followers: dict[int, dict[str, str]] = {}  # the list of a caller at each version
@@ -119,7 +119,7 @@
     now, last_written_at = 0.0, -math.inf
     for pause, wait, duration, unchanged in calls:
         sent_at = now + pause
-        now = sent_at + duration  # received; the source wrote it as early as possible
+        now = sent_at + duration  # received; the source may have written it earlier
         last_written_at = max(
             last_written_at, sent_at + wait if unchanged and now >= sent_at + wait else sent_at
         )
@@ -141,7 +141,7 @@
             assert first_at is not None and now >= first_at + 100.0
             first_at, sent = None, sent + 1
         if first_at is not None:
-            assert now < first_at + 100.0, "a due update is not delayed by later ones"
+            assert now < first_at + 100.0, "later updates do not delay one whose window is over"
         window.add_update(now)
         first_at = now if first_at is None else first_at
     assert sent <= sum(gaps) / 100.0 and window.is_open
@@ -370,7 +370,7 @@
     assert harness.note == "version 3 after 9" and harness.index is None
     unconfirmed = body_of(harness.take_due(100.0)["w"])
     assert (unconfirmed["version"], states(unconfirmed)) == (9, {"b": "left"}), (
-        "changes for the worse are sent even from a suspect answer"
+        "drains and removals are sent even from a suspect answer"
     )
     assert states(body_of(harness.call("c", 9))) == {"b": "left"}, (
         "they are sent to every caller until the next trusted answer"
--- a/tests/test_relay_age.py
+++ b/tests/test_relay_age.py
@@ -1,6 +1,6 @@
 """Age bound through relays: each balancer knows of a change within 6 s, whatever connections or relays fail.
 
-Runs the program's own watch, relay and list guard on a settable clock and real sockets.
+Runs the program's watch, relay and list validator on a settable clock and real sockets.
 """
 
 from __future__ import annotations
@@ -227,7 +227,7 @@
 
 @pytest.mark.parametrize("tiers", [ONE_TIER, TWO_TIERS])
 async def test_a_relay_that_did_not_look_at_its_age_would_break_the_bound(tiers: str) -> None:
-    """Checks that the age limit matters: without it, the first relay hides the change from its balancer."""
+    """Guards against a test that would pass without the age limit: then the first relay hides the change."""
     assert await stale_relay_delay(tiers, 2_000.0) <= MAX_DELAY_MS < await stale_relay_delay(tiers, 60_000.0)
 
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -191,7 +191,7 @@
 
 
 async def other_protocol(peer: Peer) -> None:
-    """The address now belongs to a process with another protocol."""
+    """Answer as a process with another protocol, which has the address of a former server."""
     await peer.line()
     await peer.stream.send(b"HTTP/1.1 400 Bad Request\r\n\r\n")
 
@@ -209,7 +209,7 @@
 @pytest.mark.parametrize("age_ms", [60_000.0, 3_600_000.0, 90_000_000.0], ids=["1min", "1h", "25h"])
 @pytest.mark.parametrize("dead", [None, silent, other_protocol, answering(rst=True)])
 async def test_dead_entries_of_an_old_list_cost_a_client_one_short_attempt(dead: Any, age_ms: float) -> None:
-    """Half of the entries refuse, are silent, reset, or belong to another process."""
+    """Half of the entries refuse, do not answer, reset, or belong to another process."""
     async with harness() as here:
         ports = {}
         for n in range(6):
@@ -237,7 +237,7 @@
 
 
 async def test_the_measured_story_in_short(tmp_path: Path) -> None:
-    """With dead and draining entries and no discovery, the rules hold at any speed of the host."""
+    """Checks only what holds at any speed of the host, with dead and draining entries and no discovery."""
     result = await anyio.to_thread.run_sync(story.run, 3.5, 3, 3_600_000.0, tmp_path)
     assert not result.broken and not result.to_draining and not result.dead_paid_twice
     assert result.up > 0
