--- a/puffinford/rebalance/pace.py
+++ b/puffinford/rebalance/pace.py
@@ -46,16 +46,14 @@
     min_rate: float = 0.2
     max_rate: float = 10.0
     increment: float = 0.1  # added for each return in time
-    cooldown: float = (
-        5_000.0  # after a decrease without growth, and without moves if it was a stopping signal
-    )
+    cooldown: float = 5_000.0  # after a decrease: no growth; after a stopping signal, no moves either
 
 
 class Pace:
     """The rate of moves of one balancer, and the time of its next move."""
 
     def __init__(self, settings: PaceSettings, rng: random.Random, return_weight: int = 1) -> None:
-        """One return in `return_weight` is seen by this balancer, and represents all of them."""
+        """This balancer sees one return in `return_weight`, and counts it as that many."""
         self.settings = settings
         self.return_weight = max(1, return_weight)
         self.rate = settings.start_rate
--- a/puffinford/state/records.py
+++ b/puffinford/state/records.py
@@ -2,7 +2,7 @@
 
 A value consists of a header and a msgpack payload. The header holds an xxHash (XXH3, 64 bits) over key,
 schema, time and payload, the schema number, and the Unix time in ms at which the source last confirmed the
-record. A corrupted record, or one under a wrong key, is thereby detected on its own.
+record. This detects a corrupted record, and one under a wrong key, without the other records.
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
 
 
 class HealthRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What was learned about one server. Times are Unix ms; 0 means never."""
+    """What was learned about one server. Times are Unix ms; 0 means never. `delay` is in ms."""
 
     id: Text
     failures: Annotated[int, msgspec.Meta(ge=0)] = 0
@@ -77,7 +77,7 @@
     slow_until: NonNegative = 0.0
     late_report_at: NonNegative = 0.0
     delay: NonNegative = 0.0
-    capacity_estimate: float = -1.0  # negative: unknown
+    capacity_estimate: float = -1.0  # in mean connections; negative: unknown
     capacity_estimated_at: NonNegative = 0.0
     cold_since: NonNegative = 0.0
 
