--- a/puffinford/stage/crowds.py
+++ b/puffinford/stage/crowds.py
@@ -1,4 +1,4 @@
-"""Clients of one balancer: those that hold a connection until it shuts down, and crowds of idle ones."""
+"""Clients of one balancer: clients that hold a connection until it shuts down, and crowds of idle clients."""
 
 from __future__ import annotations
 
@@ -23,8 +23,9 @@
 ) -> None:
     """Start clients of each state on each front of a balancer that is killed at `kill_at` (ms of the clock).
 
-    `each` clients write their request at any time before the kill, as many in the last BEFORE_KILL_MS, and as
-    many in the AFTER_KILL_MS after it: a connection that is still held then is lost.
+    For each state and front, `each` clients write their request at any time before the kill, `each` in the
+    last BEFORE_KILL_MS before it, and `each` in the AFTER_KILL_MS after it. Connections that the balancer
+    still holds at the kill are lost.
     """
     fronts = [(balancer.port, False)]
     if balancer.channel_port:
--- a/puffinford/stage/demo.py
+++ b/puffinford/stage/demo.py
@@ -1,4 +1,4 @@
-"""`make demo`: runs a small fleet round one balancer for ten seconds, and prints what was served."""
+"""`make demo`: runs one balancer with simulated servers and clients, and prints the requests by outcome."""
 
 from __future__ import annotations
 
--- a/puffinford/stage/faults.py
+++ b/puffinford/stage/faults.py
@@ -3,20 +3,27 @@
 Faults of links:
 
     delay 300        each chunk is forwarded 300 ms after it arrived, in order
-    hold             nothing is forwarded until the fault ends, then all of it
-    drop             data that arrives meanwhile is lost, and so is the rest of those connections
+    hold             nothing is forwarded until the fault ends, then all held data
+    drop             data that arrives during the fault is lost, and so is the rest of its connection
     fin, rst         open connections are closed that way, and so are new ones
     rate 2000        at most 2,000 bytes a second on each connection
     cut 120          each connection ends with RST after 120 bytes
 
-Each but `fin` and `rst` may be followed by `there` (from the party that connects) or `back`, which restricts
-it to that direction.
+All but `fin` and `rst` may be followed by `there` (from the party that connects) or `back`, which restricts
+the fault to that direction.
 
-Faults of processes: `kill` (started again when the fault ends), `restart` (killed and started), `terminate`
-(SIGTERM), `roll` (SIGTERM, and started once it has ended), `end` (SIGTERM, SIGHUP and SIGTERM again, killed
-as early as the platform may, and started), `reload` (SIGHUP), `freeze` (SIGSTOP until the fault ends),
-`stall` (killed, started anew and frozen at once: not ready until the fault ends), `descriptors 40` (limit of
-open files), `crowd 300` (number of idle clients, until the fault ends).
+Faults of processes:
+
+    kill             SIGKILL; the process is started again when the fault ends
+    restart          SIGKILL, then started
+    terminate        SIGTERM
+    roll             SIGTERM, then started once the process has ended
+    end              SIGTERM, SIGHUP and SIGTERM, SIGKILL as early as the platform may send it, then started
+    reload           SIGHUP
+    freeze           SIGSTOP until the fault ends
+    stall            SIGKILL, started and stopped at once, so that it is not ready until the fault ends
+    descriptors 40   the process may have at most 40 open descriptors
+    crowd 300        300 idle clients connect, until the fault ends
 
 This module does no I/O.
 """
@@ -48,10 +55,10 @@
 
     kind: str = "sound"
     value: float = 0.0
-    direction: str = ""  # one of DIRECTIONS; empty: both
+    direction: str = ""  # one of DIRECTIONS, or empty for both
 
     def kind_for(self, direction: str) -> str:
-        """The kind of fault in one direction."""
+        """Return the kind of fault in one direction, `sound` if the other direction alone is affected."""
         return self.kind if self.direction in ("", direction) else "sound"
 
 
--- a/puffinford/stage/links.py
+++ b/puffinford/stage/links.py
@@ -22,7 +22,7 @@
 
 
 class Link:
-    """One link. `set_fault` changes its fault, also for the connections that are open."""
+    """A proxied link. `set_fault` changes its fault, also for open connections."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self.fault = Fault()
         self.accepted_connections = 0
         self.forwarded_bytes = 0
-        self.max_lateness_ms = 0.0  # by which a chunk was forwarded after it was due
+        self.max_lateness_ms = 0.0  # longest delay of a chunk beyond the time at which it was due
         self._target = target
         self._clock = clock
         self._changed = anyio.Event()
--- a/puffinford/stage/play.py
+++ b/puffinford/stage/play.py
@@ -32,16 +32,17 @@
 from puffinford.standins.servers import LineServer
 from puffinford.standins.trace import KILLED, EventKind, Trace
 
-TENANT_COUNT = 6  # clients come from them in equal shares
-FAULT_ENDS = {"server": "sound", "links": "sound", "lists": "plain", "balancers": "wake"}  # by `whom`
-BALANCERS_PER_RELAY = 40  # whose links one relay process holds
+TENANT_COUNT = 6  # that clients belong to, in equal shares
+# The action that ends a fault, by `whom` of its event.
+FAULT_ENDS = {"server": "sound", "links": "sound", "lists": "plain", "balancers": "wake"}
+BALANCERS_PER_RELAY = 40  # balancers whose links share a relay process
 MAX_SHUTDOWN_DEADLINE_MS = 3_000.0  # a planned restart waits for the longest deadline, up to this
 KILL_MARGIN_MS = 700.0  # from that deadline to SIGKILL
 SIGNAL_INTERVAL_MS = 100.0  # between the signals of a planned restart
 LAST_ANSWERS_MS = 500.0  # to wait for outstanding answers after the last client has arrived
 POLL_INTERVAL_MS = 2.0
 PROCESS_CHECK_INTERVAL_MS = 250.0
-DEADLINE_FACTORS = (0.5, 2.0)  # of the configuration that is reloaded between two SIGTERMs
+DEADLINE_FACTORS = (0.5, 2.0)  # applied to the deadlines that are reloaded between two SIGTERMs
 EXIT_TIMEOUT_S = 20.0  # after SIGTERM or SIGKILL
 
 
@@ -76,7 +77,7 @@
         self.discovery: Discovery
         self.clients: Clients
         self._last_ready: dict[str, float] = {}  # when each balancer was last seen ready, in ms of the clock
-        self.max_lateness_ms = 0.0  # by which the event loop of this process was behind
+        self.max_lateness_ms = 0.0  # longest delay of the event loop of this process
         self._stopped: set[str] = set()  # balancers that the script has ended and not started again
         self._crowds: Crowds
 
@@ -373,10 +374,10 @@
         self._start(balancer)
 
     async def _end_fault(self, balancer: BalancerProcess) -> None:
-        """End the fault of a balancer, of any kind."""
+        """End the fault of a balancer, whatever its kind."""
         self._crowds.stop(balancer.name)
         balancer.signal(signal.SIGCONT)
-        if not balancer.running:  # killed, and not started again yet
+        if not balancer.running:  # killed and not yet restarted
             self._start(balancer)
             return
         _, hard_limit = resource.prlimit(balancer.pid, resource.RLIMIT_NOFILE)
--- a/puffinford/stage/relays.py
+++ b/puffinford/stage/relays.py
@@ -64,8 +64,8 @@
     def __init__(self, processes: Sequence[_Relay]) -> None:
         self._processes = processes
         self._relay_of_link: dict[str, _Relay] = {}
-        self.ports: dict[str, int] = {}  # to connect to, on HOST, by name of the link
-        self.max_lateness_ms = 0.0  # by which a chunk was forwarded after it was due, as last polled
+        self.ports: dict[str, int] = {}  # on HOST, to connect to, by name of the link
+        self.max_lateness_ms = 0.0  # longest delay of a chunk beyond its due time, as last polled
 
     async def add_links(self, number: int, links: Mapping[str, int]) -> None:
         """Open links in the relay process of this number; `links` maps names to the ports they lead to."""
--- a/puffinford/stage/report.py
+++ b/puffinford/stage/report.py
@@ -24,11 +24,11 @@
 
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 MAX_LATENCY_US = 60_000_000  # the highest value of a latency histogram
-MAX_NAMED_PARTIES = 6  # of one fault, in a line of the report
+MAX_NAMED_PARTIES = 6  # parties of one fault that a line of the report names
 
 
 def rule_violations(trace: Trace, until: float = float("inf")) -> list[str]:
-    """Return all violations of the rules in a trace. Requests after `until` (ms) may be unanswered yet."""
+    """Return all violations of the rules in a trace. Requests after `until` (ms) need no answer."""
     return [
         *checks.one_final_answer(trace, until),
         *checks.no_overlapping_attempts(trace),
--- a/puffinford/stage/script.py
+++ b/puffinford/stage/script.py
@@ -11,9 +11,9 @@
     notice: 0                      # seconds for which the front still sends clients to a dead balancer
     patience: 0                    # ms for which clients wait for an answer past their deadline
     rests: 0                       # fraction of the clients that connect some time before their request
-    holding: 0                     # clients of each kind that hold a connection to a balancer that does `end`
-    channels: false                # whether balancers also have the channel front
-    sockets: 4096                  # limit of descriptors of a balancer
+    holding: 0                     # connections per kind held to a balancer whose fault is `end`
+    channels: false                # whether balancers also serve the channel front
+    sockets: 4096                  # descriptor limit of each balancer
     classes:                       # see `clients.ClientClass`
       price-lookup: {share: 52, aim: 500, give_up: 2000, life: 4000}
     servers:                       # see `servers.ServerProfile`; `count` makes NAME-1, NAME-2, ...
@@ -86,8 +86,8 @@
     whom: str  # server, discovery, balancers, links or lists
     do: str
     names: tuple[str, ...] = ()  # of the servers, balancers or links that it affects
-    lasts: float = 0.0  # ms; 0: to the end
-    over: float = 0.0  # ms; it affects them in sequence within this time
+    lasts: float = 0.0  # ms; 0: to the end of the script
+    over: float = 0.0  # ms within which the parties are affected in sequence; 0: all at once
 
 
 @dataclass
@@ -121,7 +121,7 @@
 
     @property
     def has_links(self) -> bool:
-        """Whether an event needs links: then all traffic passes through them."""
+        """Whether an event needs links, through which all traffic passes then."""
         return any(event.whom in ("links", "lists") for event in self.events)
 
     @property
--- a/puffinford/stage/watching.py
+++ b/puffinford/stage/watching.py
@@ -16,7 +16,7 @@
 
 
 async def run_with_progress(play: Play, shown: bool = True) -> Trace:
-    """Run the play to its end and return its trace; if `shown`, with a progress line on standard error."""
+    """Run the play to its end and return its trace, with a progress line on standard error if `shown`."""
     if not shown:
         return await play.run()
     columns = (
--- a/puffinford/standins/balancer.py
+++ b/puffinford/standins/balancer.py
@@ -23,7 +23,7 @@
 def platform_settings(
     classes: Sequence[ClientClass], balancers: int = 1, me: int = 0, **more: Any
 ) -> dict[str, Any]:
-    """The settings of an installation with these request classes, as its configuration holds them.
+    """Return the settings of an installation with these request classes, as its configuration holds them.
 
     `me` is the number of this balancer among `balancers`; `more` replaces single settings.
     """
@@ -71,13 +71,13 @@
     return {**settings, **more}
 
 
-DEFAULT_SOCKETS = 4_096  # descriptor limit of a process that sets no other
+DEFAULT_SOCKETS = 4_096  # default descriptor limit of a balancer
 LISTENING_PORTS = (10_000, 32_000)  # below the kernel's range of ephemeral ports
 _ASSIGNED_PORTS: set[int] = set()  # prevents giving a port to two processes before either listens
 
 
 def free_port() -> int:
-    """A port that is free now and outside the ephemeral range.
+    """Return a port that is free now and outside the ephemeral range.
 
     Prevents an outgoing connection from taking the port before the process listens on it.
     """
@@ -108,7 +108,7 @@
 
 
 class BalancerProcess:
-    """A balancer process whose name and address stay the same over restarts. Its log is in `directory`."""
+    """A balancer process that keeps its name and address over restarts. Its log is in `directory`."""
 
     def __init__(
         self,
@@ -199,7 +199,7 @@
             self._process = subprocess.Popen(command, env=env, stderr=log, stdout=log, cwd=self._root)
 
     def is_listening(self) -> bool:
-        """Whether it accepts connections now."""
+        """Return whether it accepts connections now."""
         with socket.socket() as sock:
             sock.settimeout(0.2)
             return sock.connect_ex((HOST, self.port)) == 0
@@ -224,16 +224,16 @@
             self._process.wait()
 
     def cpu_seconds(self) -> float:
-        """CPU time of the process in seconds, as the kernel accounts it."""
+        """Return the CPU time of the process in seconds, as the kernel accounts it."""
         fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def resident_bytes(self) -> int:
-        """Resident memory of the process in bytes."""
+        """Return the resident memory of the process in bytes."""
         return int(Path(f"/proc/{self.pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
     def peak_resident_bytes(self) -> int:
-        """Peak resident memory of the process in bytes."""
+        """Return the peak resident memory of the process in bytes."""
         status = Path(f"/proc/{self.pid}/status").read_text()
         (line,) = (line for line in status.splitlines() if line.startswith("VmHWM:"))
         return int(line.split()[1]) * 1_024
--- a/puffinford/standins/checks.py
+++ b/puffinford/standins/checks.py
@@ -8,12 +8,12 @@
 
 from puffinford.standins.trace import ANSWERS, EventKind, Trace, TraceEvent
 
-LINK_RECOVERY_MS = 1_000.0  # until data held on a link during a fault has been delivered
+LINK_RECOVERY_MS = 1_000.0  # after a fault of a link, until the data that it held has been delivered
 ORDER_TOLERANCE_MS = 50.0  # the end of one connection and the start of another may be seen in either order
 
 
 def _faults(trace: Trace) -> dict[str, list[tuple[float, float]]]:
-    """The spans, in ms, in which each link had a fault, by the link's name."""
+    """Return the spans, in ms, in which each link had a fault, by name of the link."""
     spans: dict[str, list[tuple[float, float]]] = defaultdict(list)
     started: dict[str, float] = {}
     for event in trace.of(EventKind.FAULT):
@@ -27,7 +27,7 @@
 
 
 def one_final_answer(trace: Trace, until: float = float("inf")) -> list[str]:
-    """Check that each opening has exactly one answer. Openings after `until` ms may have none yet."""
+    """Check that each opening has exactly one answer. Openings after `until` ms need no answer."""
     answers: dict[str, list[str]] = defaultdict(list)
     requested = {}
     for event in trace.of(EventKind.REQUESTED, *ANSWERS):
@@ -120,12 +120,15 @@
 
     server: str
     openings: int
-    informed: int  # openings from balancers that had the server's start listed to them
+    informed: int  # openings from balancers to which the server's start was listed
     share: float  # fraction of its capacity that the server has at the end of the window
 
 
 def _cold_windows(trace: Trace, cold_from: float, warm_ms: float, window: float) -> Iterator[_ColdWindow]:
-    """Each opening at a cold server with those of the `window` ms before; a start is a STATE `cold`."""
+    """Yield, at each opening of a cold server, its openings of the last `window` ms.
+
+    A cold start is a STATE event with detail `cold`.
+    """
     cold_since: dict[str, float] = {}
     listed_starts: dict[str, float] = {}  # the start of each server that was listed last, to any balancer
     starts_before: dict[str, float] = {}  # the same, from before its cold start
@@ -187,11 +190,12 @@
     multiple: float = 3.0,
     window: float = 1_000.0,
 ) -> list[str]:
-    """Check that no cold server gets more than N + 3 sqrt(N) + 3 openings in a window (2 from N = 30 on).
+    """Check that no cold server gets more than N + c sqrt(N) + c openings in a window.
 
-    It is a breach only if more than INFORMED_FRACTION of them came from balancers that had the start listed
-    to them. N is what the settings allow then: `multiple` times the rate that fills the current share of
-    `warm_capacity` (connections) over the warm-up. A start is a STATE event with detail `cold`.
+    N is what the settings allow at that time: `multiple` times the rate that fills the current share of
+    `warm_capacity` (connections) over the warm-up. The tolerance c is 3, or 2 from N = 30 on. It is a breach
+    only if more than INFORMED_FRACTION of the openings came from balancers to which the start was listed. A
+    start is a STATE event with detail `cold`.
     """
     breaches = []
     for cold in _cold_windows(trace, cold_from, warm_ms, window):
@@ -206,7 +210,7 @@
 
 
 INFORMED_FRACTION = 2 / 3  # of a cold server's openings, from balancers to which its start was listed
-WRITE_DELAY_MS = 200.0  # allowed to a balancer between reading its clock and writing an attempt
+WRITE_DELAY_MS = 200.0  # that a balancer may take between reading its clock and writing an attempt
 
 
 def effects_not_repeated(trace: Trace, kinds: Mapping[str, tuple[str, float]]) -> list[str]:
--- a/puffinford/standins/clients.py
+++ b/puffinford/standins/clients.py
@@ -35,14 +35,14 @@
     aim: float = 500.0  # target for the time until UP
     life: float = 20_000.0  # mean duration of a connection
     every: float = 2_000.0  # interval between its lines
-    worth: float = 1.0  # `gain` of the settings
+    worth: float = 1.0  # the class's `gain` in the settings
     groups: int = 50  # groups that its clients are drawn from
     effect: str = "idempotent"  # as the settings name it
-    window: float = 5_000.0  # in which servers discard repeats, if the effect is that they do
+    window: float = 5_000.0  # in which servers discard repeats, if the effect is `deduplicated`
 
 
 def _opening(request_id: str, client_class: ClientClass, group: str, again: str) -> bytes:
-    """The OPEN line of a request, without its line end."""
+    """Return the OPEN line of a request, without its line end."""
     parameters = (
         f"c={client_class.name},t=m{int(group, 16) % 6},d={client_class.give_up:.0f},g={group}{again}"
     )
@@ -50,7 +50,7 @@
 
 
 def _server_of(answer: bytes) -> str:
-    """The id of the stand-in server that sent an UP, from its receipt."""
+    """Return the id of the stand-in server that sent an UP, from its receipt."""
     return answer.decode().removeprefix("UP r-").rpartition("-")[0]
 
 
@@ -65,7 +65,7 @@
 
 
 class Clients:
-    """A population that arrives at `rate` per second, however earlier clients fare (open loop)."""
+    """Clients that arrive at `rate` per second, whatever the outcome of earlier clients (open loop)."""
 
     def __init__(
         self,
@@ -83,8 +83,8 @@
     ) -> None:
         """`pick_balancer` returns the name and port of the next client's balancer, or None if there is none.
 
-        Clients read for `extra_wait` ms past their own limit. The fraction `idle_share` of them sends PING
-        first, and its request up to MAX_IDLE_MS ms later.
+        Clients wait for an answer for `extra_wait` ms past their time limit. The fraction `idle_share` of
+        them sends PING first, and the request up to MAX_IDLE_MS later.
         """
         self._extra_wait = extra_wait
         self._idle_share = idle_share
@@ -121,7 +121,7 @@
         self._tasks.start_soon(self._run_client, client_class, life, group)
 
     async def _run_client(self, client_class: ClientClass, life: float, group: str) -> None:
-        """One client from its first attempt until it is done or gives up."""
+        """Run one client from its first attempt until it is done or gives up."""
         end = self._clock.now() + life
         attempts, again = 0, ""
         while (left := end - self._clock.now()) > 0 and attempts <= self._max_retries:
@@ -138,7 +138,10 @@
     async def _attempt(
         self, client_class: ClientClass, life: float, group: str, again: str
     ) -> tuple[str, float]:
-        """One connection; `done`, `back` if it was established and has ended, or `no` with the ms to wait."""
+        """Run one connection and return its outcome, and the ms to wait before the next attempt.
+
+        The outcome is `done`, `back` if the balancer ended an established connection, or `no`.
+        """
         request_id = self._next_request_id()
         balancer, port = self._pick_balancer() or ("", 0)
         stream: SocketStream | None = None
@@ -264,7 +267,7 @@
         )
 
     async def _connect_idle(self, port: int) -> LineStream | None:
-        """A connection that was idle after its PING; None if it was refused or ended meanwhile."""
+        """Return a connection that was idle after its PING; None if it was refused or ended meanwhile."""
         try:
             stream = await anyio.connect_tcp(HOST, port)
         except OSError:
@@ -302,7 +305,7 @@
     async def _use_established(
         self, lines: Connection, client_class: ClientClass, request_id: str, server: str, life: float
     ) -> str:
-        """Send a line about each `every` ms on an established connection, until its end or for `life` ms."""
+        """Send a line about every `every` ms on an established connection, until its end or for `life` ms."""
         ended: list[bytes] = []
         sent_at: list[float] = []
         self.established += 1
--- a/puffinford/standins/discovery.py
+++ b/puffinford/standins/discovery.py
@@ -20,7 +20,7 @@
 DISCOVERY_MODES = ("sound", "absent", "hung", "late", "unavailable", "garbage", "reset", "older")
 LATE_ANSWER_DELAY_MS = 3_000.0  # in mode `late`
 TWISTS = ("plain", "reversed", "short", "late")  # of one balancer's answers; `late MS` delays them
-SHORT_LIST_FRACTION = 2 / 3  # of the entries, which a short list names
+SHORT_LIST_FRACTION = 2 / 3  # of the entries that a short list has
 CALL_PATTERN = re.compile(rb"GET /v1/servers(?:\?index=(-?\d+)&wait=(\d+))? HTTP/1\.1\r\n")
 _GARBAGE = (
     b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nnot a list"[:-1],
@@ -46,7 +46,7 @@
         self.changed[ident] = self.version
 
     def answer(self, index: int | None) -> dict[str, Any]:
-        """The complete list, or the entries changed after version `index`."""
+        """Return the complete list, or the entries changed after version `index`."""
         full = index is None or index > self.version
         chosen = [
             entry
@@ -102,7 +102,7 @@
         return f"{HOST}:{self._port.number}"
 
     def add_view(self, balancer: str, address_of: Callable[[str], str]) -> str:
-        """Listen for one balancer, whose lists name `address_of(id)` as a server's address; HOST:PORT."""
+        """Listen for one balancer, to which servers are listed at `address_of(id)`; return HOST:PORT."""
 
         async def handle(stream: SocketStream) -> None:
             await self._handle_call(stream, balancer, address_of)
--- a/puffinford/standins/fleet.py
+++ b/puffinford/standins/fleet.py
@@ -151,7 +151,7 @@
         self.handle(me, ServerList(ListKind.RESTORED, known))
 
     def fail_servers(self, servers: set[str]) -> int:
-        """Crash servers with their connections; the number of clients that lost one."""
+        """Crash servers with their connections; return the number of clients that lost one."""
         self.dead |= servers
         cut = [ident for ident, held in self.connections.items() if held.server in servers]
         for ident in cut:
@@ -174,9 +174,9 @@
             self.handle(connection.balancer, ClientLeft(ident))
 
     def place(self, group: int | None, me: int | None = None) -> str | None:
-        """Attempt servers for a new client until one accepts it; its id, or None if it is refused.
+        """Attempt servers for a new client until one accepts it; return its id, or None if it is refused.
 
-        It arrives at balancer `me`, or at a drawn one. Attempts at a crashed server fail to connect.
+        The client arrives at balancer `me`, by default at a random one. Attempts at a crashed server fail.
         """
         me = self.rng.randrange(len(self.balancers)) if me is None else me
         self._id_count += 1
@@ -204,30 +204,30 @@
     # Results
 
     def peak_placements(self, server: str, window: float = 1_000.0) -> int:
-        """The largest number of openings at a server in any window of `window` ms."""
+        """Return the largest number of openings at a server in any window of `window` ms."""
         times = [at for at, _, to in self.placements if to == server]
         return max((sum(at <= t < at + window for t in times) for at in times), default=0)
 
     def peak_list_requests(self, window: float = 250.0) -> int:
-        """The largest number of list requests in any window of `window` ms."""
+        """Return the largest number of list requests in any window of `window` ms."""
         return max(
             (sum(at <= t < at + window for t in self.list_requests) for at in self.list_requests), default=0
         )
 
     def connections_by_server(self) -> Counter[str]:
-        """The number of established connections at each server."""
+        """Return the number of established connections at each server."""
         return Counter(held.server for held in self.connections.values())
 
     def server_group_pairs(self) -> int:
-        """The number of pairs of a server and a group of which it has a connection."""
+        """Return the number of pairs of a server and a group that has a connection there."""
         return len({(held.server, held.group) for held in self.connections.values()})
 
 
 def restarted(servers: list[Server], at: float) -> list[Server]:
-    """List entries of the same servers after a start at `at`, in ms."""
+    """Return list entries of the same servers after a start at `at`, in ms."""
     return [Server(server.id, started=at, weight=server.weight) for server in servers]
 
 
 def removed(servers: list[Server]) -> list[Server]:
-    """List entries that announce the end of these servers."""
+    """Return list entries that announce the end of these servers."""
     return [Server(server.id, state=ServerState.GONE) for server in servers]
--- a/puffinford/standins/holding.py
+++ b/puffinford/standins/holding.py
@@ -28,7 +28,7 @@
     stream: SocketStream
 
     async def next(self) -> bytes:
-        """The next line without its line end; FIN or RST if the connection ends."""
+        """Return the next line without its line end; FIN or RST if the connection ends."""
 
     async def send_line(self, line: bytes) -> bool:
         """Write a line; False if the connection has ended."""
@@ -45,7 +45,7 @@
         self._answered = False
 
     async def next(self) -> bytes:
-        """The next line without its line end; FIN or RST if the channel or the connection ends."""
+        """Return the next line without its line end; FIN or RST if the channel or the connection ends."""
         while (line := self._reader.next()) is None:
             message = await self._next_message()
             if isinstance(message, bytes):
@@ -56,7 +56,7 @@
         return line.rstrip(b"\r\n")
 
     def _translate(self, message: codec.Message) -> bytes:
-        """The line of the line front with the same meaning; empty for a message that only carries data."""
+        """Return the line with the same meaning; empty for a message that has no such line."""
         match message:
             case codec.OpenConfirmation(sender=sender, extra=extra):
                 self._balancer_channel_id, self._answered = sender, True
@@ -109,7 +109,7 @@
 
 
 def _split_request(state: str, greeting: bytes, request: bytes) -> tuple[bytes, bytes]:
-    """The bytes that bring a connection to `state`, and those that complete its request."""
+    """Return the bytes that bring a connection to `state`, and those that complete its request."""
     match state:
         case "fresh":
             return b"", request
@@ -123,12 +123,12 @@
 
 
 def line_script(state: str, opening: bytes) -> HeldScript:
-    """The script of a line connection; `opening` is the request's line without its line end."""
+    """Return the script of a line connection; `opening` is the request's line without its line end."""
     return HeldScript(*_split_request(state, b"PING\r\n", opening + b"\r\n"), greeted=state == "rested")
 
 
 def channel_script(state: str, opening: bytes, wait: float) -> HeldScript:
-    """The script of a channel connection for the same request; `wait` is the client's time limit in ms."""
+    """Return the script of a channel connection; `wait` is the client's time limit in ms."""
     _, request_id, key, text = opening.decode("latin-1").split(" ")
     parameters = tuple((name, value) for name, _, value in (part.partition("=") for part in text.split(",")))
     extra = encode_opening(Opening.from_parameters(request_id, key, parameters), wait)
--- a/puffinford/standins/listeners.py
+++ b/puffinford/standins/listeners.py
@@ -33,7 +33,7 @@
         self._buffer = b""
 
     async def next(self) -> bytes:
-        """The next line without its line end; FIN or RST if the connection ends."""
+        """Return the next line without its line end; FIN or RST if the connection ends."""
         while b"\n" not in self._buffer:
             try:
                 self._buffer += await self.stream.receive()
@@ -54,7 +54,7 @@
 
 
 class ListeningPort:
-    """A port on loopback, bound while `tasks` run. It starts closed, so connections are refused."""
+    """A port on loopback. It is bound at once, and refuses connections until `open` is called."""
 
     def __init__(self, handle: ConnectionHandler, tasks: anyio.abc.TaskGroup) -> None:
         self._handle = handle
@@ -81,7 +81,7 @@
         self._tasks.start_soon(self._accept, self._listener, self._scope)
 
     def close(self) -> None:
-        """Refuse new connections. Open ones stay."""
+        """Refuse new connections. Open connections stay open."""
         if self._scope is not None:
             self._scope.cancel()
             self._scope = None
--- a/puffinford/standins/servers.py
+++ b/puffinford/standins/servers.py
@@ -99,14 +99,14 @@
         await self._port.reset_all()
 
     def capacity_share(self) -> float:
-        """The fraction of its capacity that it has now."""
+        """Return the fraction of its capacity that it has now."""
         if not self.started_at or not self.profile.warm_ms:
             return 1.0
         age = (self._clock.now() - self.started_at) / self.profile.warm_ms
         return min(1.0, self.profile.cold_from + (1.0 - self.profile.cold_from) * age)
 
     def delay(self) -> float:
-        """Duration of a message now, in ms; it grows with the load above `crowded`."""
+        """Return the duration of a message now, in ms; it grows with the load above `crowded`."""
         capacity = max(1.0, self.profile.capacity * self.capacity_share())
         overload = max(0.0, self.open_connections / capacity - self.profile.crowded)
         return (
--- a/puffinford/standins/trace.py
+++ b/puffinford/standins/trace.py
@@ -62,7 +62,7 @@
 
     @property
     def elapsed(self) -> float:
-        """Ms since the trace began."""
+        """Time since the trace began, in ms."""
         return self._now() - self._started_at
 
     def add(self, kind: EventKind, **more: object) -> None:
@@ -75,11 +75,11 @@
         self.events.append(event)
 
     def of(self, *kinds: EventKind) -> Iterator[TraceEvent]:
-        """The events of these kinds, in order."""
+        """Return the events of these kinds, in order."""
         return (event for event in self.events if event.kind in kinds)
 
     def count(
         self, kind: EventKind, key: Callable[[TraceEvent], str] = lambda event: event.cls
     ) -> Counter[str]:
-        """The number of events of a kind, by request class or by the result of `key`."""
+        """Return the number of events of a kind, by request class or by the result of `key`."""
         return Counter(key(event) for event in self.of(kind))
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults between several real processes: affected parties, links, and kept rules."""
+"""Faults between balancer processes: the choice of affected parties, faulty links, and violated rules."""
 
 from __future__ import annotations
 
@@ -201,12 +201,12 @@
 
 
 def fault_time(trace: Trace, detail: str) -> float:
-    """The time of the first fault with this detail, in ms of the trace."""
+    """Return the time of the first fault with this detail, in ms of the trace."""
     return next(entry.at for entry in trace.of(EventKind.FAULT) if entry.detail == detail)
 
 
 def count_refusals(trace: Trace, since: float) -> int:
-    """Refused requests since a time in ms; earlier ones may be due to balancers without a list yet."""
+    """Count refused requests since a time in ms; earlier ones may be due to balancers without a list yet."""
     return sum(entry.at >= since for entry in trace.of(EventKind.BUSY, EventKind.FAILED))
 
 
@@ -346,7 +346,7 @@
 
 
 def test_a_broken_balancer_is_found_by_the_checker_for_each_of_them() -> None:
-    """A balancer that got the list late is not at fault; one that goes on sending is."""
+    """The grace of each balancer starts when the list is written to it, and both send after its end."""
     times = iter([0.0, 0.0, 500.0, 3_400.0, 3_600.0])
     trace = Trace(lambda: next(times))
     trace.add(EventKind.LISTED, server="a", detail="leaving", balancer="n1")
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -201,7 +201,7 @@
 
 
 async def open_connection(server: LineServer, request_id: str) -> LineStream:
-    """An established connection to a server, opened as a balancer does."""
+    """Return an established connection to a server, opened as a balancer does."""
     host, _, port = server.address.rpartition(":")
     lines = LineStream(await anyio.connect_tcp(host, int(port)))
     await lines.send_line(b"OPEN " + request_id.encode() + b" 7f3a c=a")
