--- a/puffinford/scale/agreement.py
+++ b/puffinford/scale/agreement.py
@@ -49,7 +49,7 @@
 def disagreements(
     hollow: KindObservation, real: KindObservation, bounds: Bounds | None = None
 ) -> list[Disagreement]:
-    """The metrics that are out of bounds; empty if the two kinds agree."""
+    """Return the metrics that are out of bounds; empty if the two kinds agree."""
     bounds = bounds or Bounds()
     comparisons = [
         ("calls", hollow.calls, real.calls, max(bounds.min_calls, bounds.calls_ratio * real.calls)),
@@ -76,7 +76,7 @@
 def placement_difference(
     hollow: Mapping[int, Mapping[str, int]], real: Mapping[int, Mapping[str, int]]
 ) -> float:
-    """The fraction of placements, by balancer and server, that only one of the kinds made."""
+    """Return the fraction of placements, by balancer and server, that only one of the kinds made."""
     differing = total = 0
     for number in hollow.keys() | real.keys():
         hollow_counts, real_counts = hollow.get(number, {}), real.get(number, {})
--- a/puffinford/scale/arrivals.py
+++ b/puffinford/scale/arrivals.py
@@ -1,4 +1,4 @@
-"""The simulated clients of a scale run, generated from a seed alike for hollow and real balancers."""
+"""The simulated clients of a scale run, generated from a seed in the same way for all balancers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from puffinford.scale.messages import ClientWorkload
 
 REJOIN_DELAY_MS = (140.0, 1_100.0)  # range of the wait of a moved or disconnected client
-MAX_RETURNS = 3  # of one client
+MAX_RETURNS = 3  # reconnections of one client
 
 
 class ConnectionOutcome(Enum):
@@ -40,7 +40,7 @@
 
 
 def generate_arrivals(workload: ClientWorkload, seed: int, number: int) -> Iterator[Arrival]:
-    """The endless sequence of clients of one balancer, determined by the seed and the balancer's number."""
+    """Yield the clients of one balancer without end, determined by the seed and the balancer's number."""
     rng = random.Random(f"{seed} {number}")
     after_ms = 0.0
     while workload.rate > 0.0:
@@ -52,7 +52,7 @@
 
 
 def make_opening(arrival: Arrival, workload: ClientWorkload, number: int, returns: int) -> Opening:
-    """The opening of a client's first connection, or of the reconnection with the number `returns`."""
+    """Return the opening of a client's first connection, or of the reconnection numbered `returns`."""
     parameters: list[tuple[str, str | None]] = [
         ("c", workload.cls),
         ("d", f"{workload.wait_ms:.0f}"),
--- a/puffinford/scale/assemble.py
+++ b/puffinford/scale/assemble.py
@@ -31,7 +31,7 @@
     resident_bytes: int  # summed over the balancers
 
     def load(self, seconds: float, relays: int) -> BalancerLoad:
-        """Means per balancer over `seconds`."""
+        """Return the means per balancer over `seconds`."""
         balancer_seconds = max(1, self.count) * seconds
         calls = sum(tally.calls for tally in self.groups)
         size = sum(tally.sent + tally.received for tally in self.groups)
@@ -44,7 +44,7 @@
         )
 
     def observation(self) -> KindObservation:
-        """The values by which hollow and real balancers are compared."""
+        """Return the values by which hollow and real balancers are compared."""
         count = max(1, self.count)
         calls = sum(tally.calls for tally in self.groups) / count
         sent = sum(tally.sent for tally in self.groups) / count
@@ -60,7 +60,7 @@
     real: RealBalancers | None,
     distribution: Distribution,
 ) -> RunOutcome:
-    """The outcome of a run whose story began at `begin_ms` (Unix time)."""
+    """Return the outcome of a run whose story began at `begin_ms` (Unix time)."""
     seconds = (after.at_ms - before.at_ms) / 1_000.0
     tallies = {group: _difference(after.groups[group], before.groups[group]) for group in after.groups}
     hollow_result = _hollow_result(
@@ -170,7 +170,7 @@
 def _failure_reason(
     plan: RunPlan, reports: ProcessReports, lateness: Lateness, real: RealBalancers | None
 ) -> str:
-    """Why the run does not count; empty if the fleet ran completely and on time."""
+    """Return why the run is not valid; empty if the fleet ran completely and on time."""
     running = sum(tally.running for tally in reports.hollow_tallies.values())
     if running != plan.hollow:
         return f"{running} of {plan.hollow} hollow balancers are running"
--- a/puffinford/scale/distribution.py
+++ b/puffinford/scale/distribution.py
@@ -32,11 +32,11 @@
 
 
 class RelayNotListening(Exception):
-    """A relay did not start to listen in time, or ended; the text names the relay and its log."""
+    """A relay did not listen in time, or ended; the message names the relay and its log."""
 
 
 class Distribution(Protocol):
-    """The way of the list from the list service to the balancers."""
+    """How the list gets from the list service to the balancers."""
 
     name: str
     groups: list[str]  # of list service ports to open in addition to those of the balancers
@@ -46,7 +46,7 @@
         """Start the relays, if any; `addresses` are those of the list service, by group."""
 
     def operator_settings(self) -> str:
-        """The text of the balancers' settings file."""
+        """Return the text of the balancers' settings file."""
 
     def stop(self) -> None:
         """Stop the relays, if any."""
@@ -124,7 +124,7 @@
             self._process.wait()
 
     def traffic(self, begin_ms: float, end_ms: float) -> Traffic | None:
-        """Mean traffic between two Unix times by the logged counters; None with too few samples."""
+        """Return the mean traffic between two Unix times (ms), from the log; None with too few samples."""
         samples = []
         for line in self.log.read_text(errors="replace").splitlines():
             if " event=figures " in line:
@@ -137,11 +137,11 @@
         return Traffic((samples[-1][1] - samples[0][1]) / seconds, (samples[-1][2] - samples[0][2]) / seconds)
 
     def cpu_s(self) -> float:
-        """CPU time of the process; 0 if it is not running."""
+        """Return the CPU time of the process in seconds; 0 if it is not running."""
         return cpu_seconds(self._process.pid) if self._process is not None and self.running else 0.0
 
     def resident_bytes(self) -> int:
-        """Resident memory of the process; 0 if it is not running."""
+        """Return the resident memory of the process in bytes; 0 if it is not running."""
         return resident_bytes(self._process.pid) if self._process is not None and self.running else 0
 
 
@@ -170,5 +170,5 @@
 
 
 def make_distribution(relays: int, directory: Path) -> Distribution:
-    """Distribution through this number of relays; without relays, directly from the list service."""
+    """Return a distribution through this number of relays, or directly from the list service if it is 0."""
     return RelayDistribution(relays, directory) if relays else DirectDistribution()
--- a/puffinford/scale/hollow_balancer.py
+++ b/puffinford/scale/hollow_balancer.py
@@ -156,10 +156,10 @@
 
 
 def balancer_seed(seed: int, number: int) -> int:
-    """The random seed of a hollow or real balancer."""
+    """Return the random seed of a hollow or real balancer."""
     return (seed * 1_000_003 + number) & 0xFFFFFFFF
 
 
 def balancer_name(number: int) -> str:
-    """The name of a hollow or real balancer, which determines its order of relays."""
+    """Return the name of a hollow or real balancer, which determines its order of relays."""
     return f"b{number}"
--- a/puffinford/scale/hollow_process.py
+++ b/puffinford/scale/hollow_process.py
@@ -154,7 +154,7 @@
             self._applied = []
 
     def _tally(self, *, complete: bool = False) -> HollowTally:
-        """Current counters; placements and latenesses are included only if `complete`."""
+        """Return the current counters, with placements and samples of lateness only if `complete`."""
         placed = self._totals.placed if complete else {}
         return HollowTally(
             running=len(self._running),
@@ -170,7 +170,7 @@
         )
 
     async def _measure_lateness(self) -> None:
-        """Record the event loop's lateness, which distorts the propagation times of an overloaded host."""
+        """Record the event loop's lateness, which distorts propagation times on an overloaded host."""
         while True:
             expected_at = self._clock.unadjusted_now() + LATENESS_INTERVAL_MS
             await anyio.sleep(LATENESS_INTERVAL_MS / 1_000.0)
--- a/puffinford/scale/messages.py
+++ b/puffinford/scale/messages.py
@@ -16,7 +16,7 @@
 
     NOTHING = "nothing"
     LISTS = "lists"  # drops every second list
-    PLACING = "placing"  # refuses all clients without a request
+    PLACING = "placing"  # refuses all clients without a request to the decision module
 
 
 class ClientWorkload(msgspec.Struct, frozen=True, kw_only=True):
@@ -122,13 +122,13 @@
 
 
 class InForce(msgspec.Struct, frozen=True, tag=True):
-    """Applied list versions as rows of balancer, version and time."""
+    """Applied list versions as rows of balancer, version and Unix time in ms."""
 
     rows: list[tuple[int, int, float]]
 
 
 class Started(msgspec.Struct, frozen=True, tag=True):
-    """Restarts after a kill as rows of balancer and time."""
+    """Restarts after a kill as rows of balancer and Unix time in ms."""
 
     rows: list[tuple[int, float]]
 
@@ -186,11 +186,11 @@
 
 
 def encode(message: object) -> bytes:
-    """A message as one line with a newline."""
+    """Return a message as one line with a newline."""
     return msgspec.json.encode(message) + b"\n"
 
 
 def decode(line: bytes, message_type: type[Message] | Any) -> Message:
-    """The message of one line; raises msgspec.DecodeError unless it is of the type `message_type`."""
+    """Return the message of one line; raises msgspec.DecodeError unless it is of the type `message_type`."""
     message: Message = msgspec.json.decode(line, type=message_type)
     return message
--- a/puffinford/scale/pipes.py
+++ b/puffinford/scale/pipes.py
@@ -15,7 +15,7 @@
 
 
 async def read_lines(descriptor: int) -> AsyncIterator[bytes]:
-    """Lines read from a pipe until its other end is closed."""
+    """Yield the lines of a pipe, without line ends, until its other end is closed."""
     os.set_blocking(descriptor, False)
     remainder = b""
     while True:
@@ -29,17 +29,17 @@
 
 
 def send_to_driver(message: object) -> None:
-    """Write a message to standard output. Blocks the event loop while the pipe is full."""
+    """Write a message to standard output. This blocks the event loop while the pipe is full."""
     sys.stdout.buffer.write(encode(message))
     sys.stdout.buffer.flush()
 
 
 def resident_bytes(pid: int | str = "self") -> int:
-    """Resident memory of a process."""
+    """Return the resident memory of a process in bytes."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 def cpu_seconds(pid: int | str = "self") -> float:
-    """User and system CPU time of a process, from /proc."""
+    """Return the user and system CPU time of a process in seconds, from /proc."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
--- a/puffinford/scale/plan.py
+++ b/puffinford/scale/plan.py
@@ -17,7 +17,7 @@
 
     story: Story
     hollow: int  # hollow balancers
-    processes: int  # that the hollow balancers are spread over
+    processes: int  # over which the hollow balancers are spread
     real: int = 0  # real balancers
     relays: int = 0
     servers: int = 100
--- a/puffinford/scale/process_reports.py
+++ b/puffinford/scale/process_reports.py
@@ -53,14 +53,14 @@
                 self.list_tally = message
 
     def has_version(self, number: int, version: int) -> bool:
-        """Whether a hollow balancer has applied this version or a later one since its last restart."""
+        """Return whether a hollow balancer has applied this version or a later one since its last restart."""
         rows, starts = self.applied.get(number), self.restarted_at.get(number)
         if not rows or rows[-1].version < version:
             return False
         return not starts or rows[-1].at_ms >= starts[-1]
 
     def balancers_with_list(self) -> int:
-        """The number of hollow balancers that have a list."""
+        """Return the number of hollow balancers that have a list."""
         return sum(tally.informed for tally in self.hollow_tallies.values())
 
 
--- a/puffinford/scale/propagation.py
+++ b/puffinford/scale/propagation.py
@@ -50,7 +50,7 @@
     restarted_at: Mapping[int, Sequence[float]],
     outages: Sequence[OutagePeriod] = (),
 ) -> PropagationStats:
-    """Statistics of `changes`, in order of their versions.
+    """Return statistics of `changes`, in order of their versions.
 
     `applied` holds each balancer's versions in order of time, `restarted_at` its restarts in Unix ms.
     """
@@ -80,7 +80,7 @@
 
 
 def quantile(ordered: Sequence[float], fraction: float) -> float:
-    """The quantile of ordered values by the nearest-rank method; 0 if there are none."""
+    """Return the quantile of ordered values by the nearest-rank method; 0 if there are none."""
     if not ordered:
         return 0.0
     rank = -int(-fraction * len(ordered) // 1)  # rounded up
@@ -95,7 +95,7 @@
 
 
 def _count_regressions(rows: Sequence[VersionTimestamp], starts: Sequence[float]) -> int:
-    """The number of rows with an older version than the row before it, within one run of the balancer."""
+    """Count the rows with an older version than the row before, within one run of the balancer."""
     found = 0
     for before, after in pairwise(rows):
         same_run = bisect_right(starts, before.at_ms) == bisect_right(starts, after.at_ms)
@@ -104,7 +104,7 @@
 
 
 def _has_list_since_start(rows: Sequence[VersionTimestamp], starts: Sequence[float]) -> bool:
-    """Whether a balancer has applied a list since its last restart, if any."""
+    """Return whether a balancer has applied a list since its last restart, if any."""
     return not starts or (bool(rows) and rows[-1].at_ms >= starts[-1])
 
 
@@ -114,7 +114,7 @@
     rows: Sequence[VersionTimestamp],
     starts: Sequence[float],
 ) -> list[float]:
-    """The propagation times, in ms, of the changes that were applied."""
+    """Return the propagation times, in ms, of the changes that were applied."""
     found = []
     index = 0
     for change, start_ms in zip(changes, counted_from, strict=True):
--- a/puffinford/scale/real_balancers.py
+++ b/puffinford/scale/real_balancers.py
@@ -93,19 +93,19 @@
         return sum(balancer.running for balancer in self.balancers.values())
 
     def cpu_s(self) -> float:
-        """CPU time summed over all processes."""
+        """Return the CPU time in seconds, summed over all processes."""
         return sum(balancer.cpu_seconds() for balancer in self.balancers.values())
 
     def resident_bytes(self) -> int:
-        """Resident memory summed over all processes."""
+        """Return the resident memory in bytes, summed over all processes."""
         return sum(balancer.resident_bytes() for balancer in self.balancers.values())
 
     def read_log(self, number: int) -> BalancerLog:
-        """The contents of one balancer's log so far."""
+        """Return the contents of one balancer's log so far."""
         return parse_log(self.balancers[number].log_path)
 
     async def serve_clients(self, begin_ms: float, end_ms: float) -> None:
-        """Run the clients that arrive between two times; those still connected then stay until cancelled."""
+        """Run the clients that arrive between two times of the clock (ms), until all are done."""
         async with anyio.create_task_group() as tasks:
             for number in self.balancers:
                 tasks.start_soon(self._arrive, number, begin_ms, end_ms, tasks)
@@ -157,7 +157,7 @@
             server.start()
 
     def entries(self) -> list[dict[str, Any]]:
-        """The servers as entries of the server list."""
+        """Return the servers as entries of the server list."""
         return [{"id": server.id, "addr": server.address} for server in self._servers]
 
 
@@ -180,7 +180,7 @@
 
 
 def count_placements(logs: Sequence[BalancerLog]) -> Counter[str]:
-    """Established connections by server, summed over all balancers."""
+    """Return the established connections by server, summed over all balancers."""
     total: Counter[str] = Counter()
     for log_path in logs:
         total += log_path.placed
--- a/puffinford/scale/shared_clock.py
+++ b/puffinford/scale/shared_clock.py
@@ -24,7 +24,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.lost_ms = 0.0  # not counted so far
+        self.lost_ms = 0.0  # time that was left out so far
         self._last_turn = super().now()
         self._handle: asyncio.TimerHandle
 
@@ -32,7 +32,7 @@
         return min(super().now() - self.lost_ms, self._last_turn + MAX_STEP_MS)
 
     def unadjusted_now(self) -> float:
-        """The time in ms including all that was lost."""
+        """Return the time in ms, including the lost time."""
         return super().now()
 
     async def run(self) -> None:
--- a/puffinford/scale/stories.py
+++ b/puffinford/scale/stories.py
@@ -1,4 +1,4 @@
-"""Stories of scale runs: a schedule of list changes and faults. Times in seconds from the story's start.
+"""Stories of scale runs: a schedule of list changes and faults. Times are in seconds from the story's start.
 
 Not covered: regions that are cut off from each other, and the slow start of thousands of cold servers.
 """
@@ -16,7 +16,7 @@
 CHANGE_INTERVAL_S = 12.0  # 7,200 changes a day
 FAULT_STORY_CHANGES = 12  # spread evenly over a story in which processes fail
 BURST_DURATION_S = 0.1
-MAX_DRAINED_FRACTION = 0.1  # of the servers, marked as leaving at the same time
+MAX_DRAINED_FRACTION = 0.1  # of the servers; limit of those drained at the same time
 WEIGHTS = (1.0, 1.5)
 MAX_FREEZE_S = 4.0
 
@@ -111,12 +111,12 @@
 
 
 def story(name: str, span_s: float = FULL_SPAN_S) -> Story:
-    """A story of `STORIES`, `span_s` seconds long; raises KeyError for an unknown name."""
+    """Return a story of `STORIES`, `span_s` seconds long; raises KeyError for an unknown name."""
     return STORIES[name](span_s)
 
 
 def planned_changes(story: Story, servers: list[str], seed: int, begin_ms: float) -> list[Change]:
-    """The list changes of a story that starts at `begin_ms` (Unix time).
+    """Return the list changes of a story that starts at `begin_ms` (Unix time).
 
     Three of four change a server's weight; the fourth drains a server, or returns the one drained longest
     once `MAX_DRAINED_FRACTION` of the servers is drained.
@@ -141,5 +141,5 @@
 
 
 def choose_killed_balancers(hollow: int, seed: int) -> list[int]:
-    """The numbers of the third of the `hollow` balancers that a story kills."""
+    """Return the numbers of the third of the `hollow` balancers that a story kills."""
     return sorted(random.Random(f"killed {seed}").sample(range(hollow), hollow // 3))
--- a/puffinford/standins/clients.py
+++ b/puffinford/standins/clients.py
@@ -114,7 +114,7 @@
             self.arrive()
 
     def arrive(self, client_class: ClientClass | None = None) -> None:
-        """Let one client arrive now, of a drawn class unless one is given."""
+        """Let one client arrive now, of a random class unless a class is given."""
         client_class = client_class or self._rng.choices(self._classes, [c.share for c in self._classes])[0]
         life = self._rng.expovariate(1.0 / client_class.life)
         group = f"{self._rng.randrange(client_class.groups):x}"
@@ -179,7 +179,7 @@
                 return self._record_refusal(request_id, client_class, answer, ms)
             server = _server_of(answer)
             self._trace.add(EventKind.UP, request_id=request_id, cls=client_class.name, server=server, ms=ms)
-            # The same reader goes on: it may hold lines that arrived in one segment with UP.
+            # Keeps the reader, which may hold lines that arrived in one segment with UP.
             return await self._use_established(lines, client_class, request_id, server, life), 0.0
         finally:
             if stream is not None:
--- a/puffinford/standins/fleet.py
+++ b/puffinford/standins/fleet.py
@@ -61,7 +61,10 @@
         quotas: bool = True,
         warm_capacity: float = SIMULATED_WARM_CAPACITY,
     ) -> None:
-        """Servers take `sizes` in turn. With `quotas`, settings give `warm_capacity` connections to each."""
+        """Assign `sizes` to the servers in turn.
+
+        With `quotas`, the settings grant `warm_capacity` connections per server to the tenants.
+        """
         self.now = 1_000_000.0
         self.rng = random.Random(seed)
         self.servers = [Server(f"s-{seed}-{n}", weight=sizes[n % len(sizes)]) for n in range(servers)]
@@ -115,7 +118,7 @@
         return actions
 
     def advance(self, until: float) -> None:
-        """Advance the time to `until`, and run due timers and connection drops in order."""
+        """Advance the time to `until` (ms), and run due timers and connection drops in order."""
         while True:
             next_timer = self._timers[0][0] if self._timers else float("inf")
             next_drop = self._pending_drops[0][0] if self._pending_drops else float("inf")
@@ -135,7 +138,7 @@
         self.now = until
 
     def announce(self, servers: list[Server], within: float = 0.0) -> None:
-        """Send changed entries to all balancers, each at a drawn time within `within` ms."""
+        """Send changed entries to all balancers, each at a random time within `within` ms."""
         started_at = self.now
         times = sorted((self.rng.random() * within, me) for me in range(len(self.balancers)))
         for delay, me in times:
@@ -160,7 +163,7 @@
         return len(cut)
 
     def arrive(self, clients: int, over: float, groups: int) -> None:
-        """Let clients arrive over `over` ms, at drawn balancers and in drawn groups."""
+        """Let clients arrive within `over` ms, at random balancers and in random groups."""
         started_at = self.now
         for delay in sorted(self.rng.random() * over for _ in range(clients)):
             self.advance(started_at + delay)
--- a/puffinford/standins/lists.py
+++ b/puffinford/standins/lists.py
@@ -18,7 +18,7 @@
 from puffinford.standins.listeners import HOST
 
 BACKLOG = 4_096  # connections waiting to be accepted
-MAX_HEAD_BYTES = 8_192  # of a request; longer ones are reset
+MAX_HEAD_BYTES = 8_192  # of a request; connections with a longer head are reset
 
 
 @dataclass
@@ -70,7 +70,7 @@
         return lambda: Call(self, group, counts)
 
     def close(self) -> None:
-        """Refuse new connections and reset open ones."""
+        """Refuse new connections and reset open connections."""
         for server in self._servers:
             server.close()
         self._servers.clear()
@@ -128,12 +128,12 @@
             self._serve_next()
 
     def _serve_next(self) -> None:
-        """Begin with the first call in the queue whose connection is open."""
+        """Start the first call in the queue whose connection is open, and drop those before it."""
         while self._queue and self._queue[0] not in self._open_calls:
             self._queue.popleft()
         if self._queue:
             loop = asyncio.get_running_loop()
-            # Prevents a loss of rate by late timers: a call starts when the previous one was due to end.
+            # Prevents late timers from lowering the rate: a call starts when the previous one was due to end.
             self._free_at = max(self._free_at, loop.time()) + self.service_ms / 1_000.0
             loop.call_at(self._free_at, self._finish_call)
 
--- a/puffinford/standins/servers.py
+++ b/puffinford/standins/servers.py
@@ -27,12 +27,12 @@
     """The capacity and speed of a server. Times are in ms."""
 
     set_up: float = 5.0  # mean time from an opening to its UP
-    message: float = 1.0  # from a line to its answer, without load
-    capacity: int = 500  # connections; the next gets BUSY
+    message: float = 1.0  # time from a line to its answer, without load
+    capacity: int = 500  # connections; further requests get BUSY
     crowded: float = 0.5  # fraction of the capacity above which messages take longer
     slow_by: float = 20.0  # factor on all times in state `slow`
     cold_from: float = 0.15  # fraction of the capacity at a cold start
-    warm_ms: float = 0.0  # duration of the slow start; 0 without one
+    warm_ms: float = 0.0  # duration of the slow start; 0: no slow start
     zone: str = ""
     kind: str = ""
 
@@ -52,7 +52,7 @@
         self.id = ident
         self.profile = profile
         self.state = "refusing"
-        self.started_at: float = 0.0  # on the clock, of a cold start; 0 if warm
+        self.started_at: float = 0.0  # ms of the clock, of a cold start; 0 if warm
         self.open_connections = 0
         self._clock = clock
         self._trace = trace
--- a/puffinford/standins/trace.py
+++ b/puffinford/standins/trace.py
@@ -44,7 +44,7 @@
     request_id: str = ""
     server: str = ""
     cls: str = ""
-    ms: float = 0.0  # duration, where there is one; of a LISTED, the server's start in Unix ms
+    ms: float = 0.0  # duration, if the event has one; of a LISTED, the start of the server in Unix ms
     detail: str = ""
     balancer: str = ""  # the balancer at the other end, if known; of a FAULT, the link or balancer
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,7 @@
 
 from tests import known_red
 
-# Derandomized, so that a test has the same result on each run.
+# Prevents random examples from changing the result of a test between runs.
 settings.register_profile("same", derandomize=True, deadline=None)
 settings.load_profile("same")
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -131,7 +131,9 @@
         forwarded = echo_link.link.forwarded_bytes
         clock.advance(299.0)
         await anyio.wait_all_tasks_blocked()
-        assert echo_link.link.forwarded_bytes == forwarded == len(b"one\r\n"), "forwarded there, not back"
+        assert echo_link.link.forwarded_bytes == forwarded == len(b"one\r\n"), (
+            "forwarded to the server, not back"
+        )
         clock.advance(1.0)
         assert await near.next() == b"one" and echo_link.link.max_lateness_ms == 0.0
         tasks.cancel_scope.cancel()
@@ -258,9 +260,9 @@
 
 
 def test_a_frozen_balancer_does_not_act_on_what_it_knew(tmp_path: Path) -> None:
-    """Two servers start to leave while it is suspended; resumed past the grace, it sends nothing to them.
+    """Two servers begin to drain while a balancer is suspended; it resumes after the grace and avoids them.
 
-    It is suspended for longer than the longest watch, which has ended with its answer unread when it resumes.
+    It is suspended for longer than the longest watch, so that the watch has ended with its answer unread.
     """
     events = [
         {"at": 1.5, "balancers": "n*", "part": 0.25, "do": "freeze", "for": 7.0},
@@ -284,7 +286,7 @@
 
 
 def test_balancers_held_up_for_a_moment_keep_the_shortest_grace(tmp_path: Path) -> None:
-    """Each is suspended for 0.15 s around the announcement of a drain, four times."""
+    """All balancers are suspended for 0.15 s while a drain is announced, four times."""
     events: list[dict[str, Any]] = []
     for n in range(4):
         events.append({"at": 1.0 + 0.6 * n, "balancers": "n*", "do": "freeze", "for": 0.15})
@@ -319,7 +321,7 @@
 
 
 def test_a_third_of_the_balancers_killed_at_once(tmp_path: Path) -> None:
-    """The others take over without lost or refused requests, and the restarted ones serve again."""
+    """The others take over: no request is refused meanwhile, or lost over 250 ms after the kill."""
     killed = {"at": 2.0, "balancers": "n*", "part": 0.34, "do": "kill", "for": 2.0}
     play, trace = run_play(tmp_path, script_with(7.0, [killed], balancers=6))
     affected = {name for event in play.script.events for name in event.names}
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,6 +1,7 @@
-"""Scale runs with a small fleet: list changes are lost or reordered, or hollow and real balancers differ.
+"""Scale runs with a small fleet. Guards against lost or reordered list changes, and against hollow balancers
+that differ from real ones.
 
-Checks counts and order only; propagation times are checked by the benchmark (docs/scale.md).
+Only counts and order are checked here, propagation times by the benchmark (docs/scale.md).
 """
 
 from __future__ import annotations
@@ -88,7 +89,7 @@
         assert run.list_service.reset_connections >= balancers
     if name.startswith("burst"):
         assert run.hollow_propagation.lists < HOLLOW_BALANCERS * run.changes / 2, (
-            "a burst of changes is sent as few lists"
+            "a burst of changes is sent as a few lists"
         )
 
 
--- a/tests/test_scale_records.py
+++ b/tests/test_scale_records.py
@@ -1,4 +1,4 @@
-"""Results of scale runs: invalid files are rejected with place and value; a quick run can be read back."""
+"""Results of scale runs: invalid files are rejected with place and value, and valid ones are read back."""
 
 from __future__ import annotations
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -45,8 +45,9 @@
 def test_processes_keep_the_rules_while_system_calls_fail_and_the_clock_steps(
     seed: int, tmp_path: Path
 ) -> None:
-    """The wall clock steps back an hour, and forward again. Guards against requests lost at the kill of a
-    balancer that still holds connections without a request.
+    """The wall clock steps back an hour, and forward again.
+
+    Guards against requests that are lost when a balancer is killed while it holds connections without one.
     """
     plan = FaultPlan(tmp_path / "plan.json")
     steps = [
@@ -102,7 +103,7 @@
 def test_a_crowd_excuses_none_but_new_connections_of_its_time(
     connection: str, at: float, violated: bool
 ) -> None:
-    """While idle clients fill the descriptors, a balancer may close new connections unread, but no others."""
+    """While idle clients fill the descriptors, a balancer may close only new connections unread."""
     trace = trace_of(
         (0.0, EventKind.FAULT, {"balancer": "n1", "detail": "crowd 400"}),
         (
@@ -161,5 +162,5 @@
     listed = (0.0, EventKind.LISTED, {"server": "s", "balancer": "n1", "ms": 5.0})
     assert bool(checks.slow_start_kept(trace_of(start, listed, *openings), {"s": 40.0})) is violated
     assert not checks.slow_start_kept(trace_of(start, *openings), {"s": 40.0}), (
-        "no balancer had it in its list"
+        "the start was listed to no balancer"
     )
--- a/tests/test_stage.py
+++ b/tests/test_stage.py
@@ -1,4 +1,4 @@
-"""Scripts, link relays, checkers with link faults, evaluation of traces, and complete plays of stories."""
+"""Scripts, relay processes of links, checks while links fail, evaluation of traces, and complete plays."""
 
 from __future__ import annotations
 
@@ -139,7 +139,7 @@
             assert links.max_lateness_ms < 1_000.0
             with pytest.raises(RelayEnded, match=r"relay 2: .*sing"):
                 await links.set_fault(["a>x"], "sing")
-        assert await lines[0].next() in (LineStream.FIN, LineStream.RST), "with its process"
+        assert await lines[0].next() in (LineStream.FIN, LineStream.RST), "links end with their relay process"
         here.tasks.cancel_scope.cancel()
 
 
@@ -215,7 +215,9 @@
         (2_500.0, EventKind.ATTEMPT_END, {"request_id": "j", "server": "c", "detail": "2"}),
     )
     assert len(checks.no_overlapping_attempts(trace)) == broken
-    assert {entry.balancer for entry in trace.of(EventKind.ATTEMPT)} == {"n1"}, "taken from the request"
+    assert {entry.balancer for entry in trace.of(EventKind.ATTEMPT)} == {"n1"}, (
+        "the balancer is that of the request"
+    )
 
 
 @pytest.mark.anyio
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins: the checks find breaches, invalid scripts are rejected, and a short run keeps the rules."""
+"""Stand-ins: their trace, the checks of the rules, invalid scripts, and the rules in a short run."""
 
 from __future__ import annotations
 
@@ -177,7 +177,7 @@
 
 @pytest.mark.anyio
 async def test_a_list_written_to_a_caller_that_has_gone_is_not_recorded() -> None:
-    """A list written to the open watch of an ended process counted as listed to its successor."""
+    """Guards against counting a list written to the watch of an ended process as listed to its successor."""
     clock = Clock()
     trace = Trace(clock.now)
     async with anyio.create_task_group() as tasks:
@@ -211,7 +211,7 @@
 
 @pytest.mark.anyio
 async def test_a_server_says_of_each_connection_that_it_breaks_it_itself() -> None:
-    """A reset by a server that had left the state `dropping` since its UP was blamed on the balancer.
+    """Guards against blaming a balancer for a reset by a server that has left the state `dropping` since.
 
     A connection that the balancer cuts meanwhile is still a breach.
     """
@@ -237,7 +237,7 @@
 
 @pytest.mark.anyio
 async def test_a_server_that_crashes_with_its_up_on_the_way_says_so(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A server that crashed between writing UP and counting the connection did not record its reset."""
+    """A server that crashes between writing UP and counting the connection must record its reset."""
     clock = Clock()
     trace = Trace(clock.now)
     async with anyio.create_task_group() as tasks:
@@ -260,7 +260,7 @@
 
 
 def test_a_reserved_port_is_given_to_no_other_play_and_can_be_listened_at() -> None:
-    """Two runs on one host drew the same port for a balancer before either listened on it."""
+    """Guards against two runs on one host that draw the same port before either listens on it."""
     with reserve_port() as held:
         address = held.getsockname()
         with socket.socket() as other, pytest.raises(OSError, match="in use"):
