--- a/puffinford/scale/distribution.py
+++ b/puffinford/scale/distribution.py
@@ -65,6 +65,7 @@
         """Nothing to start."""
 
     def operator_settings(self) -> str:
+        """Return no settings: without relays, balancers use the address of their configuration."""
         return ""
 
     def stop(self) -> None:
@@ -155,6 +156,7 @@
         self.groups = [relay.name for relay in self.relays]
 
     def start(self, addresses: Mapping[str, str]) -> None:
+        """Start the relays and wait until all listen; raises RelayNotListening."""
         for relay in self.relays:
             relay.configure(addresses[relay.name])
             relay.start()
@@ -162,9 +164,11 @@
             relay.wait_until_listening()
 
     def operator_settings(self) -> str:
+        """Return settings that name all relays."""
         return "section discovery\n    relays " + ",".join(relay.address for relay in self.relays) + "\n"
 
     def stop(self) -> None:
+        """Kill the relays."""
         for relay in self.relays:
             relay.kill()
 
--- a/puffinford/scale/hollow_balancer.py
+++ b/puffinford/scale/hollow_balancer.py
@@ -70,6 +70,7 @@
         self._placed = placed
 
     def on_established(self, key: int, cls: str, server: str, set_up: float) -> None:
+        """Count the connection."""
         self._placed[server] += 1
 
     def on_refused(self, key: int, cls: str, *, failed: bool) -> None:
--- a/puffinford/scale/hollow_connections.py
+++ b/puffinford/scale/hollow_connections.py
@@ -32,6 +32,7 @@
         self._ended = anyio.Event()
 
     async def receive(self) -> Message:
+        """Wait until the connection is ended; raises PeerClosed."""
         await self._ended.wait()
         raise PeerClosed
 
@@ -68,6 +69,7 @@
         admit: Callable[[], Awaitable[None]],
         sent: Callable[[], None],
     ) -> tuple[PeerConnection, Up]:
+        """Establish a connection within `wait` ms; raises AttemptEnded."""
         if entry.server.id in self._dead:
             raise AttemptEnded(Result.CONNECT_FAILED)
         await admit()
@@ -79,6 +81,7 @@
         return HollowServerConnection(), Up(f"r-{opening.request_id}")
 
     async def probe(self, entry: ServerEntry, wait: float, load: bool) -> tuple[Result, str]:
+        """Return the result at once, by whether the server is dead."""
         return (Result.CONNECT_FAILED if entry.server.id in self._dead else Result.OK), ""
 
 
@@ -94,6 +97,7 @@
         self._up = anyio.Event()
 
     async def receive(self) -> Message:
+        """Wait until the client closes the connection; raises PeerClosed."""
         await self._up.wait()
         await self._clock.sleep(self._life_ms)
         self.outcome = ConnectionOutcome.DONE
@@ -103,15 +107,18 @@
         """Discard the message."""
 
     async def has_left(self) -> bool:
+        """Return False: the client waits for its answer."""
         return False
 
     async def answer(self, answer: Up | Busy | Failed) -> None:
+        """Establish the connection if the answer is an UP, or note the refusal."""
         if isinstance(answer, Up):
             self._up.set()
         else:
             self.outcome = ConnectionOutcome.REFUSED
 
     async def move(self) -> None:
+        """Note that the balancer moved the client."""
         self.outcome = ConnectionOutcome.MOVED
 
     async def end_sending(self) -> None:
--- a/puffinford/scale/shared_clock.py
+++ b/puffinford/scale/shared_clock.py
@@ -29,6 +29,7 @@
         self._handle: asyncio.TimerHandle
 
     def now(self) -> float:
+        """Return the time in ms, without the lost time."""
         return min(super().now() - self.lost_ms, self._last_turn + MAX_STEP_MS)
 
     def unadjusted_now(self) -> float:
@@ -61,6 +62,7 @@
         self._last_turn = current
 
     async def sleep(self, ms: float) -> None:
+        """Sleep until this clock has advanced by `ms`."""
         if ms <= 0.0:
             await anyio.sleep(0)
             return
@@ -70,6 +72,7 @@
 
     @contextmanager
     def limit(self, ms: float) -> Iterator[anyio.CancelScope]:
+        """Cancel the block once this clock has advanced by `ms`."""
         loop = asyncio.get_running_loop()
         deadline = self.now() + max(0.0, ms)
         handle: asyncio.Handle
