--- a/puffinford/scale/shared_clock.py
+++ b/puffinford/scale/shared_clock.py
@@ -24,15 +24,16 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.lost_ms = 0.0  # not counted so far
+        self.lost_ms = 0.0  # time that was left out so far
         self._last_turn = super().now()
         self._handle: asyncio.TimerHandle
 
     def now(self) -> float:
+        """Return the time in ms, without the lost time."""
         return min(super().now() - self.lost_ms, self._last_turn + MAX_STEP_MS)
 
     def unadjusted_now(self) -> float:
-        """The time in ms including all that was lost."""
+        """Return the time in ms, including the lost time."""
         return super().now()
 
     async def run(self) -> None:
@@ -61,6 +62,7 @@
         self._last_turn = current
 
     async def sleep(self, ms: float) -> None:
+        """Sleep until this clock has advanced by `ms`."""
         if ms <= 0.0:
             await anyio.sleep(0)
             return
@@ -70,6 +72,7 @@
 
     @contextmanager
     def limit(self, ms: float) -> Iterator[anyio.CancelScope]:
+        """Cancel the block once this clock has advanced by `ms`."""
         loop = asyncio.get_running_loop()
         deadline = self.now() + max(0.0, ms)
         handle: asyncio.Handle
--- a/puffinford/standins/fleet.py
+++ b/puffinford/standins/fleet.py
@@ -61,7 +61,10 @@
         quotas: bool = True,
         warm_capacity: float = SIMULATED_WARM_CAPACITY,
     ) -> None:
-        """Servers take `sizes` in turn. With `quotas`, settings give `warm_capacity` connections to each."""
+        """Assign `sizes` to the servers in turn.
+
+        With `quotas`, the settings grant `warm_capacity` connections per server to the tenants.
+        """
         self.now = 1_000_000.0
         self.rng = random.Random(seed)
         self.servers = [Server(f"s-{seed}-{n}", weight=sizes[n % len(sizes)]) for n in range(servers)]
@@ -115,7 +118,7 @@
         return actions
 
     def advance(self, until: float) -> None:
-        """Advance the time to `until`, and run due timers and connection drops in order."""
+        """Advance the time to `until` (ms), and run due timers and connection drops in order."""
         while True:
             next_timer = self._timers[0][0] if self._timers else float("inf")
             next_drop = self._pending_drops[0][0] if self._pending_drops else float("inf")
@@ -135,7 +138,7 @@
         self.now = until
 
     def announce(self, servers: list[Server], within: float = 0.0) -> None:
-        """Send changed entries to all balancers, each at a drawn time within `within` ms."""
+        """Send changed entries to all balancers, each at a random time within `within` ms."""
         started_at = self.now
         times = sorted((self.rng.random() * within, me) for me in range(len(self.balancers)))
         for delay, me in times:
@@ -151,7 +154,7 @@
         self.handle(me, ServerList(ListKind.RESTORED, known))
 
     def fail_servers(self, servers: set[str]) -> int:
-        """Crash servers with their connections; the number of clients that lost one."""
+        """Crash servers with their connections; return the number of clients that lost one."""
         self.dead |= servers
         cut = [ident for ident, held in self.connections.items() if held.server in servers]
         for ident in cut:
@@ -160,7 +163,7 @@
         return len(cut)
 
     def arrive(self, clients: int, over: float, groups: int) -> None:
-        """Let clients arrive over `over` ms, at drawn balancers and in drawn groups."""
+        """Let clients arrive within `over` ms, at random balancers and in random groups."""
         started_at = self.now
         for delay in sorted(self.rng.random() * over for _ in range(clients)):
             self.advance(started_at + delay)
@@ -174,9 +177,9 @@
             self.handle(connection.balancer, ClientLeft(ident))
 
     def place(self, group: int | None, me: int | None = None) -> str | None:
-        """Attempt servers for a new client until one accepts it; its id, or None if it is refused.
+        """Attempt servers for a new client until one accepts it; return its id, or None if it is refused.
 
-        It arrives at balancer `me`, or at a drawn one. Attempts at a crashed server fail to connect.
+        The client arrives at balancer `me`, by default at a random one. Attempts at a crashed server fail.
         """
         me = self.rng.randrange(len(self.balancers)) if me is None else me
         self._id_count += 1
@@ -204,30 +207,30 @@
     # Results
 
     def peak_placements(self, server: str, window: float = 1_000.0) -> int:
-        """The largest number of openings at a server in any window of `window` ms."""
+        """Return the largest number of openings at a server in any window of `window` ms."""
         times = [at for at, _, to in self.placements if to == server]
         return max((sum(at <= t < at + window for t in times) for at in times), default=0)
 
     def peak_list_requests(self, window: float = 250.0) -> int:
-        """The largest number of list requests in any window of `window` ms."""
+        """Return the largest number of list requests in any window of `window` ms."""
         return max(
             (sum(at <= t < at + window for t in self.list_requests) for at in self.list_requests), default=0
         )
 
     def connections_by_server(self) -> Counter[str]:
-        """The number of established connections at each server."""
+        """Return the number of established connections at each server."""
         return Counter(held.server for held in self.connections.values())
 
     def server_group_pairs(self) -> int:
-        """The number of pairs of a server and a group of which it has a connection."""
+        """Return the number of pairs of a server and a group that has a connection there."""
         return len({(held.server, held.group) for held in self.connections.values()})
 
 
 def restarted(servers: list[Server], at: float) -> list[Server]:
-    """List entries of the same servers after a start at `at`, in ms."""
+    """Return list entries of the same servers after a start at `at`, in ms."""
     return [Server(server.id, started=at, weight=server.weight) for server in servers]
 
 
 def removed(servers: list[Server]) -> list[Server]:
-    """List entries that announce the end of these servers."""
+    """Return list entries that announce the end of these servers."""
     return [Server(server.id, state=ServerState.GONE) for server in servers]
