--- a/benchmarks/rebalance/model.py
+++ b/benchmarks/rebalance/model.py
@@ -51,7 +51,7 @@
         self.credit = [[0.0] * servers for _ in range(balancers)]
         self.credit_at = [[0.0] * servers for _ in range(balancers)]
         self.arrivals: dict[int, list[float]] = {}
-        figures = PlannerSettings(
+        planner_settings = PlannerSettings(
             move_cooldown=60_000.0,
             settle_time=3_000.0,
             min_age=0.0,
@@ -59,7 +59,7 @@
             pace=PaceSettings(2.0, 0.2, 12.0, increment=0.1),
         )
         self.planners = [
-            Planner(figures, random.Random(seed * 1_000 + n), balancers) for n in range(balancers)
+            Planner(planner_settings, random.Random(seed * 1_000 + n), balancers) for n in range(balancers)
         ]
         self.came_back: set[int] = set()
         self.outcome = Outcome()
--- a/benchmarks/scale/kept_runs.py
+++ b/benchmarks/scale/kept_runs.py
@@ -55,14 +55,14 @@
     )
 
 
-def _propagation_times(seen: propagation.PropagationStats) -> PropagationTimes:
+def _propagation_times(stats: propagation.PropagationStats) -> PropagationTimes:
     return PropagationTimes(
-        seen.balancers,
-        seen.changes,
-        round(seen.p50_ms / 1_000.0, 4),
-        round(seen.p99_ms / 1_000.0, 4),
-        round(seen.last_ms / 1_000.0, 4),
-        seen.behind,
+        stats.balancers,
+        stats.changes,
+        round(stats.p50_ms / 1_000.0, 4),
+        round(stats.p99_ms / 1_000.0, 4),
+        round(stats.last_ms / 1_000.0, 4),
+        stats.behind,
     )
 
 
--- a/benchmarks/scale/runs.py
+++ b/benchmarks/scale/runs.py
@@ -28,7 +28,7 @@
 
 AGREEMENT_BALANCERS = 8  # of each kind
 AGREEMENT_SPAN_S = 12.0
-AGREEMENT_CROWD = ClientWorkload(rate=2.0, life_ms=4_000.0)
+AGREEMENT_WORKLOAD = ClientWorkload(rate=2.0, life_ms=4_000.0)
 TABLE_HEADERS = (
     "story", "hollow", "real", "delay p50", "p99", "last", "missed", "real p99", "last", "missed", "calls/s",
     "peak", "queue", "list cpu %", "hollow cpu %", "B/s", "KiB", "late p99", "lost",
@@ -43,7 +43,7 @@
         processes=1,
         real=AGREEMENT_BALANCERS,
         seed=seed,
-        workload=AGREEMENT_CROWD,
+        workload=AGREEMENT_WORKLOAD,
         paired=True,
         skip=skip,
     )
--- a/benchmarks/size/__main__.py
+++ b/benchmarks/size/__main__.py
@@ -135,10 +135,12 @@
     options = parser.parse_args()
     needs: dict[int, list[Need]] = {options.usual: [], options.many: []}
     for run in range(options.runs):
-        for servers, taken in needs.items():
-            taken.append(anyio.run(play, servers, options.seconds, options.rate, run + 1, options.groups))
-            print(f"{servers} servers: {taken[-1]}", flush=True)
-    means = {servers: _mean(taken) for servers, taken in needs.items()}
+        for servers, measurements in needs.items():
+            measurements.append(
+                anyio.run(play, servers, options.seconds, options.rate, run + 1, options.groups)
+            )
+            print(f"{servers} servers: {measurements[-1]}", flush=True)
+    means = {servers: _mean(measurements) for servers, measurements in needs.items()}
     usual, many = means[options.usual], means[options.many]
     allowed = limits(usual, options.many / 1_000.0)
     spread = max(measured.cpu for measured in needs[options.many]) - min(
--- a/benchmarks/spread/__main__.py
+++ b/benchmarks/spread/__main__.py
@@ -18,7 +18,7 @@
 import anyio
 import click
 
-from benchmarks.spread.model import Crowd, mean
+from benchmarks.spread.model import ClientPopulation, mean
 from puffinford.cli.stage import STORIES_DIRECTORY
 from puffinford.stage.play import Play
 from puffinford.stage.report import Report
@@ -27,7 +27,7 @@
 
 LIFETIME_S = 6.0  # mean, of a client
 STORY_NAMES = sorted(path.stem for path in STORIES_DIRECTORY.glob("*.yaml"))
-SHOWN_FIGURES = ("fullest", "emptiest", "worst", "chance", "refused", "with_room", "claims", "idle", "broken")
+SHOWN_METRICS = ("fullest", "emptiest", "worst", "chance", "refused", "with_room", "claims", "idle", "broken")
 
 
 def play(
@@ -45,9 +45,9 @@
         played = Play(script, Path(directory), root)
         trace = anyio.run(played.run)
     report = Report(trace, script)
-    figures = {key: report.metrics()[key] for key in SHOWN_FIGURES}
-    figures["late_ms"] = max(played.relays.max_lateness_ms, played.max_lateness_ms)
-    return figures, report.violations
+    metrics = {key: report.metrics()[key] for key in SHOWN_METRICS}
+    metrics["late_ms"] = max(played.relays.max_lateness_ms, played.max_lateness_ms)
+    return metrics, report.violations
 
 
 @click.command()
@@ -63,28 +63,28 @@
     """Measure, print the tables and the summary line."""
     rows, line, worst = [], [], []
     busy_balancers = dict.fromkeys(range(0, balancers, 10), 5.0)
-    crowds = {
-        "calm": Crowd(balancers, servers, standing, groups=groups),
-        "busy": Crowd(balancers, servers, standing, groups=groups, busy=busy_balancers),
+    populations = {
+        "calm": ClientPopulation(balancers, servers, standing, groups=groups),
+        "busy": ClientPopulation(balancers, servers, standing, groups=groups, busy=busy_balancers),
     }
-    for name, crowd in crowds.items():
-        found = mean(crowd, range(1, 4))
+    for name, population in populations.items():
+        found = mean(population, range(1, 4))
         rows.append((name, *(f"{value:.2f}" for value in found.values())))
         line.append(f"model_{name}_fullest={found['fullest']:.2f}")
     click.echo(format_table(("model", *found), rows))
     rows = []
     for name in only or STORY_NAMES:
         for tree, root in (("now", None), *([("before", before)] if before else [])):
-            figures, breaches = play(name, balancers, servers, standing, groups, root)
-            worst += [f"{name} {tree}: {breach}" for breach in breaches]
-            rows.append((name, tree, *(f"{value:.2f}" for value in figures.values())))
+            metrics, violations = play(name, balancers, servers, standing, groups, root)
+            worst += [f"{name} {tree}: {violation}" for violation in violations]
+            rows.append((name, tree, *(f"{value:.2f}" for value in metrics.values())))
             line += [
-                f"{name}_{tree}_{key}={figures[key]:.2f}" for key in ("fullest", "emptiest", "with_room")
+                f"{name}_{tree}_{key}={metrics[key]:.2f}" for key in ("fullest", "emptiest", "with_room")
             ]
-            click.echo(f"{name} {tree}: fullest {figures['fullest']:.2f}, broken {len(breaches)}", err=True)
-    click.echo(format_table(("story", "tree", *figures), rows))
-    for breach in worst[:20]:
-        click.echo(breach)
+            click.echo(f"{name} {tree}: fullest {metrics['fullest']:.2f}, broken {len(violations)}", err=True)
+    click.echo(format_table(("story", "tree", *metrics), rows))
+    for violation in worst[:20]:
+        click.echo(violation)
     click.echo(f"bench spread balancers={balancers} servers={servers} broken={len(worst)} {' '.join(line)}")
 
 
--- a/benchmarks/spread/model.py
+++ b/benchmarks/spread/model.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class Crowd:
+class ClientPopulation:
     """The clients: `standing` at a time on average, each for `lifetime_ms`, in `groups` groups (0: none)."""
 
     balancers: int
@@ -27,16 +27,21 @@
     busy: Mapping[int, float] | None = None  # relative share of arrivals by balancer number, 1.0 by default
 
 
-def play_crowd(crowd: Crowd, seed: int, seconds: float) -> tuple[Evenness | None, Fleet]:
-    """Simulate the crowd for `seconds`; return the evenness of the load and the fleet at the end."""
-    fleet = Fleet(crowd.servers, crowd.balancers, seed, warm_capacity=crowd.standing * 4 / 3 / crowd.servers)
+def simulate(population: ClientPopulation, seed: int, seconds: float) -> tuple[Evenness | None, Fleet]:
+    """Simulate the population for `seconds`; return the evenness of the load and the fleet at the end."""
+    fleet = Fleet(
+        population.servers,
+        population.balancers,
+        seed,
+        warm_capacity=population.standing * 4 / 3 / population.servers,
+    )
     rng = random.Random(seed ^ 0x5B)
-    weights = [(crowd.busy or {}).get(balancer, 1.0) for balancer in range(crowd.balancers)]
+    weights = [(population.busy or {}).get(balancer, 1.0) for balancer in range(population.balancers)]
     ends: list[tuple[float, str]] = []
     samples: list[LoadSample] = []
     started_at, next_arrival, next_sample = fleet.now, fleet.now, fleet.now + WARM_UP_MS
     while next_arrival < started_at + seconds * 1_000.0:
-        next_arrival += rng.expovariate(crowd.standing / crowd.lifetime_ms)
+        next_arrival += rng.expovariate(population.standing / population.lifetime_ms)
         while (ends and ends[0][0] <= min(next_arrival, next_sample)) or next_sample <= next_arrival:
             if ends and ends[0][0] <= next_sample:
                 at, connection_id = heapq.heappop(ends)
@@ -50,18 +55,18 @@
             )
             next_sample += SAMPLE_INTERVAL_MS
         fleet.advance(next_arrival)
-        group = rng.randrange(crowd.groups) * 0x9E3779B97F4A7C15 if crowd.groups else None
-        placed = fleet.place(group, rng.choices(range(crowd.balancers), weights)[0])
+        group = rng.randrange(population.groups) * 0x9E3779B97F4A7C15 if population.groups else None
+        placed = fleet.place(group, rng.choices(range(population.balancers), weights)[0])
         if placed is not None:
-            heapq.heappush(ends, (next_arrival + rng.expovariate(1.0 / crowd.lifetime_ms), placed))
-    return evenness(samples, [1.0] * crowd.servers), fleet
+            heapq.heappush(ends, (next_arrival + rng.expovariate(1.0 / population.lifetime_ms), placed))
+    return evenness(samples, [1.0] * population.servers), fleet
 
 
-def mean(crowd: Crowd, seeds: range, seconds: float = 12.0) -> dict[str, float]:
+def mean(population: ClientPopulation, seeds: range, seconds: float = 12.0) -> dict[str, float]:
     """Return means over the seeds and the maximum of `worst`; `us` is the processor time of an event."""
     found, us = [], []
     for seed in seeds:
-        result, fleet = play_crowd(crowd, seed, seconds)
+        result, fleet = simulate(population, seed, seconds)
         us.append(1e6 * fleet.cpu_seconds / max(1, fleet.event_count))
         if result is not None:
             found.append(result)
--- a/benchmarks/start/costs.py
+++ b/benchmarks/start/costs.py
@@ -64,17 +64,17 @@
         state_keeper = StateKeeper(
             StateSettings(), (Path(directory) / "state", False), clock, exchange.health, exchange.learn
         )
-        fleet = server_entries(count)
-        guard = ListValidator()
+        listed_entries = server_entries(count)
+        validator = ListValidator()
         spent = {"store": 0.0, "all": 0.0}
 
         def apply_list(entries: ServerEntries) -> None:
             started_at = time.thread_time()
-            judged = guard.validate(entries)
-            assert judged.entries is not None
-            exchange.take_list(judged.entries)
+            validated = validator.validate(entries)
+            assert validated.entries is not None
+            exchange.take_list(validated.entries)
             applied_at = time.thread_time()
-            state_keeper.record_list(judged.entries)
+            state_keeper.record_list(validated.entries)
             end = time.thread_time()
             spent["store"] += end - applied_at
             spent["all"] += end - started_at
@@ -83,14 +83,14 @@
             started_at, cpu = time.monotonic(), 0.0
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(state_keeper.run)
-                apply_list(ServerEntries(1, True, fleet))
+                apply_list(ServerEntries(1, True, listed_entries))
                 await anyio.sleep(1.0)
                 spent.update(store=0.0, all=0.0)
                 started_at, cpu = time.monotonic(), time.process_time()
                 version = 1
                 while time.monotonic() - started_at < seconds:
                     version += 1
-                    entry = rng.choice(fleet)
+                    entry = rng.choice(listed_entries)
                     state = rng.choice((ServerState.LIVE, ServerState.DRAINING))
                     server = Server(
                         entry.server.id, entry.server.zone, entry.server.kind, entry.server.cell, state
--- a/puffinford/scale/hollow_balancer.py
+++ b/puffinford/scale/hollow_balancer.py
@@ -69,17 +69,17 @@
     def __init__(self, placed: Counter[str]) -> None:
         self._placed = placed
 
-    def on_established(self, key: int, cls: str, server: str, set_up: float) -> None:
+    def on_established(self, key: int, cls: str, server: str, setup_ms: float) -> None:
         """Count the connection."""
         self._placed[server] += 1
 
     def on_refused(self, key: int, cls: str, *, failed: bool) -> None:
         """Refusals are counted by the client's outcome."""
 
-    def on_closed(self, key: int, cls: str, server: str, stood: float, *, cut: bool) -> None:
+    def on_closed(self, key: int, cls: str, server: str, duration_ms: float, *, cut: bool) -> None:
         """Not counted."""
 
-    def on_delay(self, server: str, delay: float) -> None:
+    def on_delay(self, server: str, delay_ms: float) -> None:
         """Hollow servers send no messages."""
 
 
--- a/puffinford/scale/real_balancers.py
+++ b/puffinford/scale/real_balancers.py
@@ -163,16 +163,16 @@
 
 def parse_log(path: Path) -> BalancerLog:
     """Read the applied list versions with their times, and the established connections by server."""
-    log_path = BalancerLog()
+    log = BalancerLog()
     if not path.exists():
-        return log_path
+        return log
     for line in path.read_text(errors="replace").splitlines():
         if " event=discovery version=" in line:
             values = _values(line)
-            log_path.applied.append(VersionTimestamp(int(values["version"]), float(values["t"]) * 1_000.0))
+            log.applied.append(VersionTimestamp(int(values["version"]), float(values["t"]) * 1_000.0))
         elif "from=core.exchange" in line and "event=up " in line:
-            log_path.placed[_values(line)["server"]] += 1
-    return log_path
+            log.placed[_values(line)["server"]] += 1
+    return log
 
 
 def _values(line: str) -> dict[str, str]:
@@ -182,6 +182,6 @@
 def count_placements(logs: Sequence[BalancerLog]) -> Counter[str]:
     """Return the established connections by server, summed over all balancers."""
     total: Counter[str] = Counter()
-    for log_path in logs:
-        total += log_path.placed
+    for log in logs:
+        total += log.placed
     return total
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -222,8 +222,8 @@
     def list_server(
         self, ident: str, port: int, state: ServerState = ServerState.LIVE, front: str = "lines"
     ) -> None:
-        machine = ServerEntry(Server(ident, state=state), "127.0.0.1", port, front)
-        self.exchange.take_list(ServerEntries(1, False, [machine]))
+        entry = ServerEntry(Server(ident, state=state), "127.0.0.1", port, front)
+        self.exchange.take_list(ServerEntries(1, False, [entry]))
 
     async def run_clock(self) -> None:
         """Advance the clock by 100 ms every 2 ms, until cancelled."""
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -309,8 +309,8 @@
     )  # with the default limit, all answers would fit into the kernel's buffers
     async with harness() as here:
         client = await here.channel_client()
-        asks = codec.encode(codec.GlobalRequest("what", True)) * 200
-        await client.stream.send(asks)
+        requests = codec.encode(codec.GlobalRequest("what", True)) * 200
+        await client.stream.send(requests)
         seen = [await client.next()]
         while seen[-1] not in (b"FIN", b"RST"):
             seen.append(await client.next())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -291,19 +291,19 @@
             server.close()
 
 
-@pytest.mark.parametrize("rested", [FIRST_LINE_TIMEOUT_MS, PING_IDLE_TIMEOUT_MS])
-async def test_a_request_that_comes_as_its_time_runs_out_is_served(rested: float) -> None:
+@pytest.mark.parametrize("idle_ms", [FIRST_LINE_TIMEOUT_MS, PING_IDLE_TIMEOUT_MS])
+async def test_a_request_that_comes_as_its_time_runs_out_is_served(idle_ms: float) -> None:
     """Guards against answering ERR to a request whose line has arrived."""
     async with harness() as here:
         await here.server("s-1", echo)
         client = SyncClient(here.port)
-        if rested == PING_IDLE_TIMEOUT_MS:
+        if idle_ms == PING_IDLE_TIMEOUT_MS:
             client.send_bytes(b"PING\r\n")
             await here.settle()
             assert client.sock.recv(100) == b"PONG\r\n"
         await here.settle()
         client.send_bytes(opening() + b"\r\n")
-        here.clock.advance(rested)
+        here.clock.advance(idle_ms)
         await here.settle()
         assert client.sock.recv(100) == b"UP r1\r\n"
         client.rst()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -26,11 +26,11 @@
     (tmp_path / "config.json").write_text(
         json.dumps({"name": "n1", "listen": "127.0.0.1:0", "seed": "0a", "settings": FACTS})
     )
-    words = ["serve", "--inventory", str(tmp_path / "machines.csv")]
+    words = ["serve", "--inventory", str(tmp_path / "servers.csv")]
     words += ["--settings", str(tmp_path / "puffinford.conf")]
     async with harness() as here:
         port = await here.listen(lambda stream: answering(b"UP r1", stay=True)(Peer(stream)))
-        (tmp_path / "machines.csv").write_text(f"id,addr\ns-1,127.0.0.1:{port}\n")
+        (tmp_path / "servers.csv").write_text(f"id,addr\ns-1,127.0.0.1:{port}\n")
         async with program(tmp_path / "config.json", *words) as running:
             process = running.process
             ports = [await running.port(front) for front in (b"lines", b"channels")]
--- a/tests/test_proving.py
+++ b/tests/test_proving.py
@@ -28,7 +28,8 @@
         self.balancer = Balancer(configured, seed)
         self.now = 1_000.0
         self.dead = set(dead)
-        self.out: dict[str, tuple[str, int, float]] = {}  # by request: server, number, time of the timeout
+        # By request: server, number, time of the timeout.
+        self.in_progress: dict[str, tuple[str, int, float]] = {}
         self.sent: dict[str, list[str]] = {}
         self.answers: dict[str, str] = {}
         self.wakeups: list[tuple[float, int]] = []
@@ -43,14 +44,18 @@
                 case it.Attempt():
                     number = len(self.sent.setdefault(action.id, []))
                     self.sent[action.id].append(action.server)
-                    self.out[action.id] = (action.server, number, self.now + (action.timeout or 2_000.0))
+                    self.in_progress[action.id] = (
+                        action.server,
+                        number,
+                        self.now + (action.timeout or 2_000.0),
+                    )
                 case it.Refuse():
                     self.answers[action.id] = "refused"
                 case it.SetTimer():
                     self.wakeups.append((self.now + action.delay, action.token))
                 case it.Move():
                     self.answers[action.id] = "moved"
-        verifying = [s for s, _, _ in self.out.values() if s not in self.verified]
+        verifying = [s for s, _, _ in self.in_progress.values() if s not in self.verified]
         self.max_out = max(self.max_out, len(verifying))
 
     def ask(self, request: str, cls: str = "lookup") -> None:
@@ -58,7 +63,7 @@
 
     def answer(self, request: str, result: Result | None = None) -> None:
         """End the current attempt: established, or with `result`."""
-        server, number, _ = self.out.pop(request)
+        server, number, _ = self.in_progress.pop(request)
         if result is None:
             self.verified.add(server)
             self.answers[request] = server
@@ -77,7 +82,7 @@
             )
             for _, token in due:
                 self.dispatch(it.Timer(token))
-            for request, (server, _, until) in list(self.out.items()):
+            for request, (server, _, until) in list(self.in_progress.items()):
                 if server not in self.dead:
                     self.answer(request)
                 elif until <= self.now:
@@ -88,7 +93,7 @@
     restored = RestoredBalancer("abcdefgh", dead="abcd")
     for n in range(30):
         restored.ask(f"j{n}")
-    assert len(restored.out) == 2 and not restored.answers
+    assert len(restored.in_progress) == 2 and not restored.answers
     restored.run(500.0)
     assert restored.max_out <= 2
     assert len(restored.answers) == 30 and set(restored.answers.values()) <= set("efgh")
@@ -130,7 +135,7 @@
     restored = RestoredBalancer("abcd", dead="abcd", max_concurrent=1)
     for n in range(5):
         restored.ask(f"j{n}")
-    assert len(restored.out) == 1
+    assert len(restored.in_progress) == 1
     restored.run(3_000.0)
     assert restored.max_out == 1 and set(restored.answers.values()) == {"refused"}
 
@@ -139,12 +144,12 @@
     restored = RestoredBalancer("abcd", dead="abcd")
     for n in range(4):
         restored.ask(f"j{n}")
-    assert len(restored.out) == 2
+    assert len(restored.in_progress) == 2
     restored.dead.clear()
     restored.dispatch(ServerList(ListKind.UNAVAILABLE))
-    assert len(restored.out) == 2, "a failed call verifies nothing"
+    assert len(restored.in_progress) == 2, "a failed call verifies nothing"
     restored.dispatch(ServerList(ListKind.UPDATE))
-    assert len(restored.out) == 4
+    assert len(restored.in_progress) == 4
 
 
 def test_clients_of_servers_that_discovery_does_not_know_are_moved_away() -> None:
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -39,19 +39,19 @@
     async with site(tmp_path) as here:
         clients = [Peer(await anyio.connect_tcp("127.0.0.1", here.port)) for _ in range(40)]
 
-        async def heard() -> None:
+        async def ping_all() -> None:
             for client in clients:
                 await client.send_line(b"PING")
                 assert await client.line() == b"PONG\r\n"
 
-        await heard()
+        await ping_all()
         here.running.process.send_signal(signal.SIGTERM)
         signalled_at = anyio.current_time()
         await anyio.sleep_until(signalled_at + 1.5)
-        await heard()
+        await ping_all()
         answers: list[bytes] = []
 
-        async def cross(client: Peer, number: int) -> None:
+        async def send_late_request(client: Peer, number: int) -> None:
             await anyio.sleep_until(signalled_at + 1.95 + 0.015 * number)
             with contextlib.suppress(anyio.BrokenResourceError):
                 await client.send_line(opening(f"0{number}"))
@@ -63,7 +63,7 @@
 
         async with anyio.create_task_group() as tasks:
             for number, client in enumerate(clients):
-                tasks.start_soon(cross, client, number)
+                tasks.start_soon(send_late_request, client, number)
         assert await here.running.process.wait() == 0
         assert set(answers) <= {b"UP", b"BUSY", b"ERR"}, answers
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -86,8 +86,8 @@
 def test_delays_are_distinguished_from_loads_by_their_series(seed: int) -> None:
     """A delay classified as a load would hide an overloaded server."""
     rng = random.Random(seed)
-    standing = {f"j{n}" for n in range(40)}
-    kinds = NoteClassifier(100.0, standing.__contains__)
+    established = {f"j{n}" for n in range(40)}
+    classifier = NoteClassifier(100.0, established.__contains__)
     lines = [
         (
             rng.random() * 60_000.0,
@@ -102,11 +102,11 @@
     loads: list[float] = []
     for line in sorted(lines + row):
         at, request, server, value = line
-        kind = kinds.take(request, server, value, at)
-        loads += [note.value for note in kinds.due(at)]
+        kind = classifier.take(request, server, value, at)
+        loads += [note.value for note in classifier.due(at)]
         if kind is not None:
             (delays if kind else loads).append(value)
-    loads += [note.value for note in kinds.due(70_000.0)]
+    loads += [note.value for note in classifier.due(70_000.0)]
     wanted = {value for *_, value in row[1:]}
     assert wanted <= set(delays), "all but the first, which needs a second value"
     assert len(delays) <= len(wanted) + 3, "few of 1,500 loads are classified as delays"
@@ -114,12 +114,15 @@
 
 
 def test_a_series_continues_on_another_connection_once_its_own_has_ended() -> None:
-    standing = {"a", "b"}
-    kinds = NoteClassifier(100.0, standing.__contains__)
-    assert [kinds.take("a", "s", 50.0, 1_000.0), kinds.take("a", "s", 60.0, 2_001.0)] == [None, True]
-    assert kinds.take("b", "s", 70.0, 3_001.0) is False, "a server has one series at a balancer"
-    standing.discard("a")
-    assert kinds.take("b", "s", 20.0, 3_002.0) is True, "its last value is under the aim"
+    established = {"a", "b"}
+    classifier = NoteClassifier(100.0, established.__contains__)
+    assert [classifier.take("a", "s", 50.0, 1_000.0), classifier.take("a", "s", 60.0, 2_001.0)] == [
+        None,
+        True,
+    ]
+    assert classifier.take("b", "s", 70.0, 3_001.0) is False, "a server has one series at a balancer"
+    established.discard("a")
+    assert classifier.take("b", "s", 20.0, 3_002.0) is True, "its last value is under the aim"
 
 
 @pytest.mark.anyio
@@ -203,10 +206,10 @@
         body = json.dumps({"version": 9, "full": True, "servers": []}).encode()
         await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
-    def take(machines: ServerEntries | None) -> int | None:
-        taken.append(machines)
+    def take(entries: ServerEntries | None) -> int | None:
+        taken.append(entries)
         received.set()
-        return machines.version if machines else None
+        return entries.version if entries else None
 
     clock = SettableClock()
     with caplog.at_level(logging.WARNING):
@@ -265,10 +268,10 @@
             with contextlib.suppress(anyio.BrokenResourceError):
                 await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
-    def take(machines: ServerEntries | None) -> int | None:
-        taken.append(machines)
+    def take(entries: ServerEntries | None) -> int | None:
+        taken.append(entries)
         received.set()
-        return machines.version if machines else None
+        return entries.version if entries else None
 
     clock = SettableClock()
     async with harness() as here:
--- a/tests/test_stage.py
+++ b/tests/test_stage.py
@@ -157,12 +157,12 @@
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
 
-            async def strike() -> None:
+            async def end_party() -> None:
                 while not play.trace.serving_started_at:
                     await anyio.sleep(0.01)
                 end()
 
-            tasks.start_soon(strike)
+            tasks.start_soon(end_party)
             with pytest.raises(
                 PlayFailed, match="n2 ended by itself" if party == "balancer" else "relay 1 ended"
             ):
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -271,17 +271,17 @@
         await here.connect_many(30, "a")
         assert here.openings["s-1"] > 0
         assert (await http_call(address, "POST /admin/cordon/s-1"))[0] == 200
-        out = here.openings["s-1"]
+        openings_before = here.openings["s-1"]
         await here.connect_many(30, "b")
-        assert here.openings["s-1"] == out, "no new connections while cordoned"
+        assert here.openings["s-1"] == openings_before, "no new connections while cordoned"
         assert (await http_call(address, "POST /admin/uncordon/s-1"))[0] == 200
-        back = anyio.current_time()
-        while anyio.current_time() < back + 0.9:
+        uncordoned_at = anyio.current_time()
+        while anyio.current_time() < uncordoned_at + 0.9:
             assert (await here.connect_many(1, f"c{sum(here.openings.values())}-"))["UP"] == 1
             await anyio.sleep(0.01)  # limits the log, whose pipe is not read here
-        assert 0 <= here.openings["s-1"] - out <= COLD_BUDGET
+        assert 0 <= here.openings["s-1"] - openings_before <= COLD_BUDGET
         with anyio.fail_after(5.0):
-            while here.openings["s-1"] == out:
+            while here.openings["s-1"] == openings_before:
                 await here.connect_many(1, f"d{sum(here.openings.values())}-")
                 await anyio.sleep(0.01)
 
