--- a/puffinford/config.py
+++ b/puffinford/config.py
@@ -105,7 +105,7 @@
     """
     path = env.get("EDGE_CONFIG")
     if not path:
-        raise BadConfig("EDGE_CONFIG is not set")
+        raise BadConfig("EDGE_CONFIG names no file")
     try:
         document = json.loads(Path(path).read_bytes())
     except (OSError, ValueError, RecursionError) as exc:
